--- a/benchmarks/capacity_measures.py
+++ b/benchmarks/capacity_measures.py
@@ -85,7 +85,7 @@
         if subsets and size is not None:
             fleet = tuple(Dispatcher(f"n{n}", f"zone-{n % ZONES}") for n in range(dispatchers))
             self.subset = WorkerSubset(fleet, "n0", size, settings)
-            settings = settings_for_subset(settings, size.memberships)
+            settings = settings_for_subset(settings, size.dispatchers_per_worker)
         self.balancer = TimedBalancer(settings, 1)
 
     def _at(self, after: float, call: Callable[[], None]) -> None:
@@ -101,10 +101,10 @@
     def _feed_subset(self, event: s.SubsetEvent[s.ListedWorker]) -> None:
         assert self.subset is not None
         for action in self.cost.handle_subset(self.subset, event, self.now):
-            if isinstance(action, s.ShowWorkers):
+            if isinstance(action, s.UpdateSubset):
                 self._feed(i.WorkerList(i.ListKind.UPDATE, shown_entries(action)))
             else:
-                self._at(action.after, lambda: self._feed_subset(s.TimerFired()))
+                self._at(action.delay_s, lambda: self._feed_subset(s.TimerFired()))
 
     def _feed(self, event: i.Event) -> None:
         actions = self.cost.handle(self.balancer, event, self.now)
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -17,7 +17,7 @@
 import typer
 
 from wickgw.config.routes import read_plan
-from wickgw.routing.check import check, survey
+from wickgw.routing.check import analyze, check
 from wickgw.routing.lint import lint
 from wickgw.routing.match import Request
 
@@ -68,7 +68,7 @@
     start = time.perf_counter()
     plan = read_plan(path)
     read = time.perf_counter()
-    found = survey(plan)
+    found = analyze(plan)
     cut = time.perf_counter()
     judged = check(plan, found)
     lint(plan, found, judged)
@@ -76,15 +76,16 @@
     assert {j.verdict.value for j in judged} == {"holds"}, [j for j in judged if j.verdict.value != "holds"][
         :2
     ]
-    asked = [cell.witness for cell, _, _ in found.cells]
+    asked = [cell.witness for cell, _, _ in found.equivalence_classes]
     rng = np.random.default_rng(7)
     picked = [asked[int(n)] for n in rng.integers(len(asked), size=4000)]
-    took = min(_look_up(plan.table.take, picked) for _ in range(5))
+    took = min(_look_up(plan.table.lookup, picked) for _ in range(5))
     scan = min(
-        _look_up(lambda r: [x for x in plan.table.routes if x.match.holds(r)], picked[:400]) for _ in range(3)
+        _look_up(lambda r: [x for x in plan.table.routes if x.matcher.matches(r)], picked[:400])
+        for _ in range(3)
     )
     return (
-        f"| {routes} | {len(plan.expectations)} | {len(found.cells)} | {read - start:.2f} | {cut - read:.2f} | "
+        f"| {routes} | {len(plan.expectations)} | {len(found.equivalence_classes)} | {read - start:.2f} | {cut - read:.2f} | "
         f"{end - cut:.2f} | {end - start:.2f} | {took:.1f} | {scan:.1f} |"
     )
 
--- a/tests/routes.py
+++ b/tests/routes.py
@@ -10,19 +10,19 @@
 from scenario import PATIENCE, end_node
 
 from wickgw.config.ini import read_ini
-from wickgw.config.relay import Config, Sources, open_sockets
+from wickgw.config.relay import Config, ConfigSources, open_sockets
 from wickgw.config.routes import read_plan
 from wickgw.emulator.group import SETTINGS
 from wickgw.emulator.worker import Worker
 from wickgw.facts import read_settings
 from wickgw.node import Node
-from wickgw.routing.check import Plan
+from wickgw.routing.check import CheckPlan
 
 HEAD = "[routing]\nenabled = yes\nzones = east west\nclasses = look once\nzone_header = Client-Zone\n"
 ZONES = ("east", "west")
 
 
-def plan_of(folder: Path, text: str) -> Plan:
+def plan_of(folder: Path, text: str) -> CheckPlan:
     path = folder / "routes.ini"
     path.write_text(HEAD + text)
     return read_plan(path)
@@ -83,7 +83,7 @@
 
     def reload(self, text: str) -> None:
         self.ini.write_text(HEAD + text)
-        self.run(lambda: self.node.reload(Sources({"RELAY_CONFIG": str(self.config)}, self.ini)))
+        self.run(lambda: self.node.reload(ConfigSources({"RELAY_CONFIG": str(self.config)}, self.ini)))
 
     def ask(self, path: str, host: str = "a.example.org", **fields: str) -> tuple[int, str]:
         """Status, and the worker that ran it, if one did."""
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -30,7 +30,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from wickgw.config.relay import Config, Sources, open_sockets
+from wickgw.config.relay import Config, ConfigSources, open_sockets
 from wickgw.facts import read_settings
 from wickgw.node import Node
 
@@ -234,7 +234,7 @@
             environ = {"RELAY_CONFIG": file.name, "RELAY_DISCOVERY": self.address("d")}
 
             async def reload() -> None:
-                self.node.reload(Sources(environ))
+                self.node.reload(ConfigSources(environ))
 
             asyncio.run_coroutine_threadsafe(reload(), self.loop).result(PATIENCE)
 
--- a/tests/test_address_node.py
+++ b/tests/test_address_node.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import pytest
-from test_cli import GOOD
+from test_cli import VALID_CONFIG
 
 from benchmarks.address import Jobs
 from wickgw.address.keys import add_key
@@ -198,7 +198,7 @@
     text = text.replace("KEY", str(path.with_suffix(".key")))
     path.write_text(text)
     config = path.with_suffix(".json")
-    config.write_text(json.dumps(GOOD))
+    config.write_text(json.dumps(VALID_CONFIG))
     done = subprocess.run(
         [sys.executable, "-m", "wickgw", "check", "--ini", str(path)],
         env=os.environ | {"RELAY_CONFIG": str(config)},
@@ -267,7 +267,7 @@
         add_key(path.with_suffix(".key"))
         text = change(FINE, taken.getsockname()[1]).replace("KEY", str(path.with_suffix(".key")))
         path.write_text(text)
-        (tmp_path / "c.json").write_text(json.dumps(GOOD))
+        (tmp_path / "c.json").write_text(json.dumps(VALID_CONFIG))
         done = subprocess.run(
             [sys.executable, "-m", "wickgw", "serve", "--ini", str(path)],
             env=os.environ | {"RELAY_CONFIG": str(tmp_path / "c.json")},
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""The pages of operators name what the program says: log events are held against the code."""
+"""Compares documentation pages with the code: log events, INI keys, tables of tests."""
 
 import re
 from pathlib import Path
@@ -16,31 +16,31 @@
 def test_each_log_event_of_a_subsystem_is_on_its_page(package: str, page: str) -> None:
     files = [*(ROOT / "wickgw" / package).glob("*.py"), *(ROOT / "wickgw" / "net").glob("pools.py")]
     code = "".join(path.read_text() for path in files if package == "routing" or path.name != "pools.py")
-    said = set(EVENT.findall(code)) - {"member.{change.new.name.lower()}"}
-    said |= {"member.alive", "member.suspected", "member.dead"} if package == "address" else set()
+    logged = set(EVENT.findall(code)) - {"member.{change.new.name.lower()}"}
+    logged |= {"member.alive", "member.suspected", "member.dead"} if package == "address" else set()
     text = (ROOT / "docs" / "operators" / f"{page}.md").read_text()
     table = text.partition("## Log events")[2].partition("\n## ")[0]
     rows = [line.split("|")[1] for line in table.splitlines() if line.startswith("| `")]
-    told = {event for row in rows for event in re.findall(r"`([^`]+)`", row)}
-    assert said == told, said ^ told
+    documented = {event for row in rows for event in re.findall(r"`([^`]+)`", row)}
+    assert logged == documented, logged ^ documented
 
 
-def test_reference_of_keys_is_the_schema_s() -> None:
-    """Made anew by: wickgw reference > docs/operators/ini-reference.md"""
+def test_ini_reference_is_generated_from_the_schema() -> None:
+    """To update the page, run: wickgw reference > docs/operators/ini-reference.md"""
     assert (ROOT / "docs" / "operators" / "ini-reference.md").read_text() == reference()
 
 
-def test_each_test_of_endings_is_in_their_table_and_each_named_there_is_a_test() -> None:
+def test_table_of_endings_names_all_tests_of_endings_and_no_others() -> None:
     tests = re.findall(r"^def test_(\w+)", (ROOT / "tests" / "test_endings.py").read_text(), re.M)
     table = (ROOT / "docs" / "design" / "endings.md").read_text().partition("\n## ")[0]
     cells = [line.split("|")[4] for line in table.splitlines() if line.startswith("| ")][2:]
     named = [name for cell in cells for name in re.findall(r"`([a-z_]+)`", cell)]
-    assert len(named) > 15 and all(any(t.startswith(n) for t in tests) for n in named), named
-    of_keys = {"key_of_a_request_whose_repeats_workers_drop_is_passed_on"}  # ends nothing
-    assert {t for t in tests if not any(t.startswith(n) for n in named)} == of_keys
+    assert len(named) > 15 and all(any(test.startswith(prefix) for test in tests) for prefix in named), named
+    not_endings = {"key_of_a_request_whose_repeats_workers_drop_is_passed_on"}  # no ending
+    assert {test for test in tests if not any(test.startswith(prefix) for prefix in named)} == not_endings
 
 
-def test_list_of_known_red_tests_names_real_ones_with_cause_and_issue(tmp_path: Path) -> None:
+def test_known_failing_tests_must_exist_and_have_a_cause_and_an_issue(tmp_path: Path) -> None:
     (tmp_path / "tests").mkdir()
     (tmp_path / "tests" / "test_a.py").write_text("def test_one() -> None: ...\n")
     good = "tests/test_a.py::test_one | a cause | 29"
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -56,9 +56,13 @@
                 fields = {"Client_Zone": zone} | ({"X_Shop": "7"} if rng.random() < 0.5 else {})
                 headers = {"x-shop": "7"} if "X_Shop" in fields else {}
                 asked = Request(
-                    normal.host(host), normal.path(path), "POST", zone if zone in ZONES else "east", headers
+                    normal.host(host),
+                    normal.path(path),
+                    "POST",
+                    zone if zone in ZONES else "east",
+                    headers,
                 )
-                route = table.take(asked).route
+                route = table.lookup(asked).route
                 status, worker = serving.ask(path, host, **fields)
                 if route is None:
                     assert status == 404 and not worker, (text, asked)
--- a/tests/test_route_cli.py
+++ b/tests/test_route_cli.py
@@ -1,4 +1,4 @@
-"""`wickgw route`: the sample holds, edits of it are caught, and each command's output and exit codes."""
+"""`wickgw route`: the example file holds, edits are detected, and each command's output and exit code."""
 
 import json
 import os
@@ -7,11 +7,11 @@
 from pathlib import Path
 
 import pytest
-from test_cli import GOOD
+from test_cli import VALID_CONFIG
 
 from wickgw.config.relay import ConfigError
 from wickgw.config.routes import read_plan
-from wickgw.routing.check import Verdict, check, survey
+from wickgw.routing.check import Verdict, analyze, check
 from wickgw.routing.lint import difference, lint
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
@@ -23,7 +23,7 @@
     return subprocess.run(command, capture_output=True, text=True, timeout=60)
 
 
-# Each is one edit of the sample: the section, what stands there, what it becomes.
+# Edits of the example file: the section, the old text and the new text.
 EDITS = [
     ("scan-partner", "priority = 5", "priority = 7"),
     ("scan-partner-blocked", "priority = 6", "priority = 4"),
@@ -61,47 +61,53 @@
 
 
 def edited(folder: Path, section: str, old: str, new: str) -> Path:
-    """The sample with one edit."""
+    """Return the path of a copy of the example file with one edit."""
     text = SAMPLE.read_text()
     title = f"[{section}]" if ":" in section else f"[route:{section}]"
-    head, body = text.split(title, 1)
-    assert old in body.split("\n[", 1)[0], (section, old)
+    before, after = text.split(title, 1)
+    assert old in after.split("\n[", 1)[0], (section, old)
     (folder / "expectations.ini").write_text((EXAMPLES / "expectations.ini").read_text())
     path = folder / "routes.ini"
-    path.write_text(head + title + body.replace(old, new, 1))
+    path.write_text(before + title + after.replace(old, new, 1))
     return path
 
 
-def caught(path: Path) -> list[str]:
-    """The names of expectations that broke and of findings that are errors."""
+def detected(path: Path) -> list[str]:
+    """Return the names of expectations that don't hold and of findings that are errors."""
     plan = read_plan(path)
-    found = survey(plan)
-    judged = check(plan, found)
-    names = [j.expectation.name for j in judged if j.verdict is not Verdict.HOLDS]
-    return names + [f"{f.kind} {' '.join(f.routes)}" for f in lint(plan, found, judged) if f.error]
+    analysis = analyze(plan)
+    results = check(plan, analysis)
+    names = [result.expectation.name for result in results if result.verdict is not Verdict.HOLDS]
+    return names + [
+        f"{finding.kind} {' '.join(finding.routes)}"
+        for finding in lint(plan, analysis, results)
+        if finding.error
+    ]
 
 
-def test_sample_holds_and_has_the_size_that_was_asked_for() -> None:
+def test_example_file_holds_and_has_its_documented_size() -> None:
     plan = read_plan(SAMPLE)
     assert len(plan.table.routes) == 25 and len(plan.expectations) == 40
-    assert not caught(SAMPLE)
+    assert not detected(SAMPLE)
 
 
 @pytest.mark.parametrize("section, old, new", EDITS)
-def test_edit_that_moves_a_request_is_named(section: str, old: str, new: str, tmp_path: Path) -> None:
+def test_edit_that_changes_a_destination_is_detected(
+    section: str, old: str, new: str, tmp_path: Path
+) -> None:
     path = edited(tmp_path, section, old, new)
     before, after = read_plan(SAMPLE), read_plan(path)
-    moved = difference(before.table, after.table, before.zones)
-    assert moved, "an edit that moves nothing is no test"
-    # A witness is true: the two tables really differ on it, as the two texts of a move say.
-    assert all(m.old != m.new and m.witness for m in moved)
-    names = caught(path)
-    # The sample's expectations name all but what nobody expects anything of.
+    changes = difference(before.table, after.table, before.zones)
+    assert changes, "an edit must change a destination"
+    # Each change has a witness, and the destinations differ.
+    assert all(change.old != change.new and change.witness for change in changes)
+    names = detected(path)
+    # The example's expectations cover all edits except these two.
     assert names or (section, new) in {("any-lookup", "host = *.org"), ("scan-by-carrier", "[a-z]{4,8}")}
 
 
-def test_planted_overlap_is_caught_by_name(tmp_path: Path) -> None:
-    """A route that its author thought apart: a wildcard host against a class, both without a priority."""
+def test_tie_is_reported_with_both_routes(tmp_path: Path) -> None:
+    """Two routes that look unrelated, a wildcard host and a job class, tie if neither has a priority."""
     path = edited(tmp_path, "any-create", "class = label-create", "path_prefix = /label-create")
     path.write_text(
         path.read_text()
@@ -111,13 +117,13 @@
     assert done.returncode == 1 and "ERROR tie any-create late" in done.stdout
 
 
-def test_check_says_what_broke_and_why_and_writes_json(tmp_path: Path) -> None:
+def test_check_prints_broken_expectations_and_writes_json(tmp_path: Path) -> None:
     out = tmp_path / "out.json"
     done = run("check", SAMPLE, "--json", out)
     assert done.returncode == 0 and "40 of 40 expectations hold; 0 errors" in done.stdout
-    told = json.loads(out.read_text())
-    assert {e["verdict"] for e in told["expectations"]} == {"holds"}
-    assert set(told["expectations"][0]) == {"name", "line", "verdict", "witness"}
+    report = json.loads(out.read_text())
+    assert {result["verdict"] for result in report["expectations"]} == {"holds"}
+    assert set(report["expectations"][0]) == {"name", "line", "verdict", "witness"}
     path = edited(
         tmp_path, "refund-dallas", "pools = returns-dallas", "pools = returns-dallas returns-memphis"
     )
@@ -126,7 +132,11 @@
     assert (
         "BROKEN refunds-never-cross" in done.stdout and "a refund that crosses is booked twice" in done.stdout
     )
-    broken = {e["name"]: e for e in json.loads(out.read_text())["expectations"] if e["verdict"] == "broken"}
+    broken = {
+        result["name"]: result
+        for result in json.loads(out.read_text())["expectations"]
+        if result["verdict"] == "broken"
+    }
     assert "d11, d12, d13 draining" in broken["refunds-never-cross"]["witness"]
     line = broken["refunds-never-cross"]["line"]
     assert (EXAMPLES / "expectations.ini").read_text().splitlines()[
@@ -134,7 +144,7 @@
     ] == "[expect:refunds-never-cross]"
 
 
-def test_explain_names_the_route_why_not_the_others_and_the_pool() -> None:
+def test_explain_prints_the_route_the_rejected_routes_and_the_pool() -> None:
     host = ("--host", "RETURNS.example.org:443")
     done = run("explain", SAMPLE, "--path", "/refund-release//7", *host, "--zone", "dallas")
     assert done.returncode == 0 and "route    refund-dallas" in done.stdout
@@ -153,18 +163,18 @@
     assert run("explain", SAMPLE, "--path", "/x", "--state", "sleepy").returncode == 2
 
 
-def test_diff_lists_what_goes_elsewhere(tmp_path: Path) -> None:
-    same = run("diff", SAMPLE, SAMPLE)
-    assert same.returncode == 0 and "every request goes where it went" in same.stdout
+def test_diff_lists_changed_destinations(tmp_path: Path) -> None:
+    unchanged = run("diff", SAMPLE, SAMPLE)
+    assert unchanged.returncode == 0 and "every request goes where it went" in unchanged.stdout
     path, out = edited(tmp_path, "health", "priority = 50", "priority = 0"), tmp_path / "out.json"
     done = run("diff", SAMPLE, path, "--json", out)
     assert done.returncode == 1 and "/label-lookup/ping" in done.stdout
     moved = json.loads(out.read_text())["moved"]
-    assert moved and all("/label-lookup/ping" in m["witness"] for m in moved)
+    assert moved and all("/label-lookup/ping" in change["witness"] for change in moved)
 
 
 @pytest.mark.parametrize(
-    "text, words",
+    "text, fragments",
     [
         ("[route:r]\npath = look\npools = p\n[pool:p]\n", ("[route:r] path: 'look' read", "slash")),
         ("[route:r]\npath_pattern = /(\npools = p\n[pool:p]\n", ("path_pattern: '/('", "not a pattern")),
@@ -184,18 +194,16 @@
         ("[shop:e]\nexpect = refused\n", ("[shop:e]: unknown",)),
     ],
 )
-def test_file_that_will_not_do_is_one_line_and_exit_2(
-    text: str, words: tuple[str, ...], tmp_path: Path
-) -> None:
+def test_invalid_file_is_reported_in_one_line(text: str, fragments: tuple[str, ...], tmp_path: Path) -> None:
     path = tmp_path / "routes.ini"
     path.write_text("[routing]\n" + text)
-    with pytest.raises(ConfigError) as told:
+    with pytest.raises(ConfigError) as raised:
         read_plan(path)
-    line = str(told.value)
-    assert "routes.ini" in line and "\n" not in line and all(word in line for word in words), line
+    line = str(raised.value)
+    assert "routes.ini" in line and "\n" not in line and all(fragment in line for fragment in fragments), line
 
 
-def test_command_ends_with_2_on_a_file_that_is_not_there(tmp_path: Path) -> None:
+def test_missing_or_misplaced_file_exits_with_2(tmp_path: Path) -> None:
     done = run("check", tmp_path / "none.ini")
     assert done.returncode == 2 and done.stderr.count("\n") == 1
     (tmp_path / "a.ini").write_text("[routing]\nexpectations = b.ini\n")
@@ -205,7 +213,7 @@
 
 
 def test_serve_and_check_refuse_routes_that_tie(tmp_path: Path) -> None:
-    (tmp_path / "c.json").write_text(json.dumps(GOOD))
+    (tmp_path / "c.json").write_text(json.dumps(VALID_CONFIG))
     path = tmp_path / "r.ini"
     route = "[route:{}]\nclass = look\npools = p\n"
     path.write_text("[routing]\nenabled = yes\n[pool:p]\n" + route.format("a") + route.format("b"))
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Subsetting: even, stable, whole under failure, bounded; and what bad input gets."""
+"""Subsets are balanced and stable, keep their capacity under failures, stay bounded, and reject bad input."""
 
 import random
 from collections import Counter
@@ -14,20 +14,25 @@
     FleetListed,
     ListedWorker,
     SetTimer,
-    ShowWorkers,
     SubsetAction,
     SubsetEvent,
     TimerFired,
+    UpdateSubset,
 )
 from wickgw.subsetting.ranking import Dispatcher, Ranking, UnknownDispatcherError
 from wickgw.subsetting.sizing import (
-    LARGEST_WHOLE_VIEW,
-    MIN_SUBSET,
+    LARGEST_WHOLE_VIEW_WORKERS,
+    MIN_SUBSET_WORKERS,
     SubsetSize,
     settings_for_subset,
     subset_size,
 )
-from wickgw.subsetting.subset import MAX_FAILURES, MAX_GROWTH, REFILL_BELOW, WorkerSubset
+from wickgw.subsetting.subset import (
+    MAX_CONSECUTIVE_FAILURES,
+    MAX_SHARE_MULTIPLE,
+    REFILL_THRESHOLD,
+    WorkerSubset,
+)
 
 ZONES, WORKERS = 6, 1300
 CLASS = i.RequestClass("look", aim=0.2, deadline=5.0)
@@ -35,19 +40,19 @@
 READY, DRAINING, GONE = i.Health.READY, i.Health.DRAINING, i.Health.GONE
 
 
-def zone_of(number: int) -> str:
+def zone_name(number: int) -> str:
     return f"zone-{number % ZONES}"
 
 
-def fleet_of(count: int) -> tuple[Dispatcher, ...]:
-    return tuple(Dispatcher(f"n{n}", zone_of(n)) for n in range(count))
+def make_dispatchers(count: int) -> tuple[Dispatcher, ...]:
+    return tuple(Dispatcher(f"n{number}", zone_name(number)) for number in range(count))
 
 
-def workers_of(count: int) -> list[tuple[str, str]]:
-    return [(f"s-{n:05x}", zone_of(n)) for n in range(count)]
+def make_workers(count: int) -> list[tuple[str, str]]:
+    return [(f"s-{number:05x}", zone_name(number)) for number in range(count)]
 
 
-def size_of(dispatchers: int, workers: int = WORKERS) -> SubsetSize:
+def make_size(dispatchers: int, workers: int = WORKERS) -> SubsetSize:
     size = subset_size(dispatchers, workers, ZONES, largest_whole_view=0)
     assert size is not None
     return size
@@ -56,7 +61,7 @@
 def memberships(
     dispatchers: tuple[Dispatcher, ...], workers: list[tuple[str, str]], size: SubsetSize
 ) -> dict[str, set[str]]:
-    """The workers of each dispatcher."""
+    """Return the names of each dispatcher's members."""
     return {
         dispatcher.name: {
             name
@@ -69,215 +74,236 @@
     }
 
 
-def changed(before: dict[str, set[str]], after: dict[str, set[str]]) -> int:
+def count_changes(before: dict[str, set[str]], after: dict[str, set[str]]) -> int:
     return sum(len(before.get(name, set()) ^ after.get(name, set())) for name in before.keys() | after.keys())
 
 
-class Held:
-    """A subset, and what it has shown."""
+class SubsetHarness:
+    """Drives one subset, and records the workers that it makes visible."""
 
     def __init__(self, dispatchers: int = 200, own: str = "n3", size: SubsetSize | None = None) -> None:
-        size = size or size_of(dispatchers)
-        self.subset = WorkerSubset[ListedWorker](fleet_of(dispatchers), own, size, SETTINGS)
+        size = size or make_size(dispatchers)
+        self.subset = WorkerSubset[ListedWorker](make_dispatchers(dispatchers), own, size, SETTINGS)
         self.now = 0.0
-        self.shown: dict[str, i.Entry] = {}
-        self.timer = False
+        self.visible: dict[str, i.Entry] = {}
+        self.timer_set = False
 
-    def feed(self, event: SubsetEvent[ListedWorker]) -> list[SubsetAction[ListedWorker]]:
+    def handle(self, event: SubsetEvent[ListedWorker]) -> list[SubsetAction[ListedWorker]]:
         actions = self.subset.handle(event, self.now)
         for action in actions:
             if isinstance(action, SetTimer):
-                self.timer = True
+                self.timer_set = True
                 continue
-            for name in action.gone:
-                del self.shown[name]
-            self.shown |= {worker.entry.worker: worker.entry for worker in action.workers}
+            for name in action.removed:
+                del self.visible[name]
+            self.visible |= {worker.entry.worker: worker.entry for worker in action.workers}
         return actions
 
-    def tell(self, kind: i.ListKind, *entries: i.Entry) -> None:
-        """Tell of the list, and let it be read to its end."""
-        self.feed(FleetListed(kind, tuple(ListedWorker(e, f"zone-{e.zone}") for e in entries)))
+    def receive(self, kind: i.ListKind, *entries: i.Entry) -> None:
+        """Deliver a list of workers, and run the subset until the whole list is processed."""
+        self.handle(FleetListed(kind, tuple(ListedWorker(entry, f"zone-{entry.zone}") for entry in entries)))
         while not self.subset.settled:
-            self.feed(TimerFired())
+            self.handle(TimerFired())
 
-    def change(self, names: set[str], health: i.Health, since: float | None = None) -> None:
+    def set_health(self, names: set[str], health: i.Health, since: float | None = None) -> None:
         entries = [self.subset.known[name].listed.entry for name in sorted(names)]
-        self.tell(i.ListKind.UPDATE, *(i.Entry(e.worker, health, e.zone, since=since) for e in entries))
+        self.receive(
+            i.ListKind.UPDATE, *(i.Entry(entry.worker, health, entry.zone, since=since) for entry in entries)
+        )
 
     def wait(self, seconds: float) -> None:
         self.now += seconds
-        while self.timer and seconds > 0:
-            self.timer, seconds = False, seconds - 1
-            self.feed(TimerFired())
+        while self.timer_set and seconds > 0:
+            self.timer_set, seconds = False, seconds - 1
+            self.handle(TimerFired())
 
     def ready(self) -> set[str]:
-        return {name for name, entry in self.shown.items() if entry.health is READY}
+        return {name for name, entry in self.visible.items() if entry.health is READY}
 
 
-def held(
+def loaded_subset(
     count: int = WORKERS, dispatchers: int = 200, own: str = "n3", size: SubsetSize | None = None
-) -> Held:
-    made = Held(dispatchers, own, size)
-    made.tell(
-        i.ListKind.REPLACE, *(i.Entry(name, zone=n % ZONES) for n, (name, _) in enumerate(workers_of(count)))
+) -> SubsetHarness:
+    harness = SubsetHarness(dispatchers, own, size)
+    harness.receive(
+        i.ListKind.REPLACE,
+        *(i.Entry(name, zone=number % ZONES) for number, (name, _) in enumerate(make_workers(count))),
     )
-    return made
+    return harness
 
 
 @pytest.mark.parametrize("dispatchers", [40, 100, 200])
-def test_each_worker_is_in_as_many_subsets_and_the_busiest_gets_at_most_a_quarter_more(
+def test_each_worker_has_equal_memberships_and_at_most_a_quarter_more_than_the_mean_load(
     dispatchers: int,
 ) -> None:
-    size, workers = size_of(dispatchers), workers_of(WORKERS)
-    held_by = memberships(fleet_of(dispatchers), workers, size)
-    seen = Counter(name for names in held_by.values() for name in names)
-    assert set(seen.values()) == {size.memberships} and len(seen) == WORKERS
-    attempts = Counter[str]()  # of even traffic, which each dispatcher spreads over its workers
-    for names in held_by.values():
+    size, workers = make_size(dispatchers), make_workers(WORKERS)
+    workers_of = memberships(make_dispatchers(dispatchers), workers, size)
+    memberships_by_worker = Counter(name for names in workers_of.values() for name in names)
+    assert (
+        set(memberships_by_worker.values()) == {size.dispatchers_per_worker}
+        and len(memberships_by_worker) == WORKERS
+    )
+    attempts = Counter[str]()  # uniform traffic, which each dispatcher spreads evenly over its members
+    for names in workers_of.values():
         attempts.update(dict.fromkeys(names, 1 / len(names)))
     assert max(attempts.values()) <= 1.25 * sum(attempts.values()) / WORKERS
 
 
-def test_most_seats_at_a_worker_are_of_its_own_zone_and_some_of_the_others() -> None:
-    size, zones = size_of(200), dict(workers_of(WORKERS))
-    home = 0.0
-    for dispatcher in fleet_of(200)[:20]:
-        ranks = Ranking(fleet_of(200), dispatcher.name, size).rank(workers_of(WORKERS))
-        members = [name for (name, _), rank in zip(workers_of(WORKERS), ranks, strict=True) if rank.member]
-        home += sum(zones[name] == dispatcher.zone for name in members) / len(members) / 20
-    assert size == SubsetSize(6, 2) and 0.65 < home < 0.85
+def test_most_members_are_in_the_dispatcher_s_zone_and_some_in_other_zones() -> None:
+    size, zones = make_size(200), dict(make_workers(WORKERS))
+    same_zone_share = 0.0
+    for dispatcher in make_dispatchers(200)[:20]:
+        ranks = Ranking(make_dispatchers(200), dispatcher.name, size).rank(make_workers(WORKERS))
+        members = [name for (name, _), rank in zip(make_workers(WORKERS), ranks, strict=True) if rank.member]
+        same_zone_share += sum(zones[name] == dispatcher.zone for name in members) / len(members) / 20
+    assert size == SubsetSize(6, 2) and 0.65 < same_zone_share < 0.85
 
 
-def test_worker_more_or_less_changes_at_most_twice_its_own_memberships() -> None:
-    size, workers, dispatchers = size_of(100), workers_of(WORKERS), fleet_of(100)
+def test_removing_a_worker_changes_at_most_twice_its_own_memberships() -> None:
+    size, workers, dispatchers = make_size(100), make_workers(WORKERS), make_dispatchers(100)
     before = memberships(dispatchers, workers, size)
     for number in (0, 700):
         after = memberships(dispatchers, workers[:number] + workers[number + 1 :], size)
-        assert 0 < changed(before, after) <= 2 * size.memberships
+        assert 0 < count_changes(before, after) <= 2 * size.dispatchers_per_worker
 
 
-def test_dispatcher_more_or_less_changes_at_most_twice_its_own_memberships() -> None:
-    size, workers, dispatchers = size_of(100), workers_of(WORKERS), fleet_of(100)
+def test_removing_a_dispatcher_changes_at_most_twice_its_own_memberships() -> None:
+    size, workers, dispatchers = make_size(100), make_workers(WORKERS), make_dispatchers(100)
     before = memberships(dispatchers, workers, size)
     for number in (0, 57):
         after = memberships(dispatchers[:number] + dispatchers[number + 1 :], workers, size)
-        assert 0 < changed(before, after) <= 2 * len(before[f"n{number}"])
+        assert 0 < count_changes(before, after) <= 2 * len(before[f"n{number}"])
 
 
-def test_restarted_dispatcher_finds_the_subset_that_it_had() -> None:
-    assert held().shown == held().shown != held(own="n9").shown
+def test_restarted_dispatcher_gets_the_same_subset() -> None:
+    assert loaded_subset().visible == loaded_subset().visible != loaded_subset(own="n9").visible
 
 
-def test_drained_and_dead_members_are_made_up_for_at_once_and_their_substitutes_leave_again() -> None:
-    it = held()
-    members = set(it.subset.members)
+def test_drained_and_gone_members_are_replaced_at_once_until_they_return() -> None:
+    harness = loaded_subset()
+    members = set(harness.subset.members)
     lost = set(sorted(members)[: len(members) // 2])
-    it.change(lost, DRAINING)
-    assert {it.shown[name].health for name in lost} == {DRAINING}  # the module hears of the drain itself
-    assert len(it.ready()) >= it.subset.share() and it.ready() - members
-    it.change(lost, GONE)
-    assert not lost & set(it.shown) and len(it.ready()) >= it.subset.share()
-    it.tell(i.ListKind.UPDATE, *(i.Entry(name, zone=dict_zone(name)) for name in sorted(lost)))
-    it.wait(2.0)
-    assert set(it.shown) == set(it.subset.members) == members
-
-
-def dict_zone(name: str) -> int:
+    harness.set_health(lost, DRAINING)
+    assert {harness.visible[name].health for name in lost} == {
+        DRAINING
+    }  # the decision module receives the drain itself
+    assert len(harness.ready()) >= harness.subset.fair_share() and harness.ready() - members
+    harness.set_health(lost, GONE)
+    assert not lost & set(harness.visible) and len(harness.ready()) >= harness.subset.fair_share()
+    harness.receive(i.ListKind.UPDATE, *(i.Entry(name, zone=zone_index(name)) for name in sorted(lost)))
+    harness.wait(2.0)
+    assert set(harness.visible) == set(harness.subset.members) == members
+
+
+def zone_index(name: str) -> int:
     return int(name.removeprefix("s-"), 16) % ZONES
 
 
-def test_lost_zone_is_made_up_for_from_the_others_and_ramps_up_by_its_own_members_when_it_returns() -> None:
-    it = held()
-    home = {name for name, worker in it.subset.known.items() if worker.listed.zone == "zone-3"}
-    others = {name: dict_zone(name) for name in it.subset.known}
-    it.change(home, GONE)
-    assert len(it.ready()) >= it.subset.share() and not it.ready() & home
-    it.now = 30.0
-    it.tell(i.ListKind.UPDATE, *(i.Entry(name, zone=others[name], since=30.0) for name in sorted(home)))
-    cold = {name for name in it.ready() if it.shown[name].since == 30.0}
-    assert cold == home & set(it.subset.members)  # those who share the budget of each; nobody besides
-    assert len(it.ready() - cold) >= 0.8 * it.subset.share() * 0.8  # warm ones stay until these are warm
-    it.wait(25.0)
-    assert set(it.shown) == set(it.subset.members)
-
-
-def test_subset_grows_while_all_its_members_fail_and_the_fleet_does_not() -> None:
-    it = held()
-    members = set(it.subset.members)
+def test_lost_zone_is_replaced_from_other_zones_and_only_its_members_slow_start_on_return() -> None:
+    harness = loaded_subset()
+    lost = {name for name, worker in harness.subset.known.items() if worker.listed.zone == "zone-3"}
+    zones = {name: zone_index(name) for name in harness.subset.known}
+    harness.set_health(lost, GONE)
+    assert len(harness.ready()) >= harness.subset.fair_share() and not harness.ready() & lost
+    harness.now = 30.0
+    harness.receive(
+        i.ListKind.UPDATE, *(i.Entry(name, zone=zones[name], since=30.0) for name in sorted(lost))
+    )
+    cold = {name for name in harness.ready() if harness.visible[name].since == 30.0}
+    assert cold == lost & set(harness.subset.members)  # only dispatchers that share each worker's budget
+    assert (
+        len(harness.ready() - cold) >= 0.8 * harness.subset.fair_share() * 0.8
+    )  # warm workers stay until these are warm
+    harness.wait(25.0)
+    assert set(harness.visible) == set(harness.subset.members)
+
+
+def test_subset_grows_while_all_its_members_fail_and_the_rest_of_the_fleet_serves() -> None:
+    harness = loaded_subset()
+    members = set(harness.subset.members)
     for name in sorted(members):
-        for _ in range(MAX_FAILURES):
-            it.feed(AttemptEnded(name, served=False))
-    assert len(it.ready() - members) >= REFILL_BELOW * it.subset.share()
+        for _ in range(MAX_CONSECUTIVE_FAILURES):
+            harness.handle(AttemptEnded(name, served=False))
+    assert len(harness.ready() - members) >= REFILL_THRESHOLD * harness.subset.fair_share()
     for name in sorted(members):
-        it.feed(AttemptEnded(name, served=True))
-    assert set(it.shown) == members
+        harness.handle(AttemptEnded(name, served=True))
+    assert set(harness.visible) == members
 
 
-def test_subset_is_bounded_however_many_workers_are_bad() -> None:
-    it = held()
-    share = it.subset.share()
+def test_subset_size_is_bounded_however_many_workers_fail() -> None:
+    harness = loaded_subset()
+    share = harness.subset.fair_share()
     for _ in range(20):
-        for name in sorted(it.shown):
-            for _ in range(MAX_FAILURES):
-                it.feed(AttemptEnded(name, served=False))
-    assert len(it.shown) <= MAX_GROWTH * share + 1
+        for name in sorted(harness.visible):
+            for _ in range(MAX_CONSECUTIVE_FAILURES):
+                harness.handle(AttemptEnded(name, served=False))
+    assert len(harness.visible) <= MAX_SHARE_MULTIPLE * share + 1
 
 
 @pytest.mark.parametrize("dispatchers", [40, 200])
-def test_whole_list_of_2600_is_read_and_shown_in_steps(dispatchers: int) -> None:
-    it, count = Held(dispatchers), 2600
-    entries = tuple(ListedWorker(i.Entry(n, zone=dict_zone(n)), z) for n, z in workers_of(count))
-    reads = -(-count // subset_module.READ_AT_ONCE)
-    assert it.feed(FleetListed(i.ListKind.REPLACE, entries)) == [SetTimer(subset_module.NEXT_STEP_S)]
-    for _ in range(reads):
-        assert it.shown == {} and not it.subset.settled
-        assert it.feed(TimerFired()) == [SetTimer(subset_module.NEXT_STEP_S)]
-    shows = 0
-    while not it.subset.settled:
-        shown, *timers = it.feed(TimerFired())
-        assert isinstance(shown, ShowWorkers) and len(shown.workers) <= subset_module.SHOW_AT_ONCE
-        assert timers == ([] if it.subset.settled else [SetTimer(subset_module.NEXT_STEP_S)])
-        shows += 1
-    assert set(it.shown) == set(it.subset.members) and len(it.shown) > MIN_SUBSET
-    assert shows == -(-len(it.shown) // subset_module.SHOW_AT_ONCE)
-
-
-def test_workers_that_leave_or_drain_are_shown_before_new_ones() -> None:
-    it = held(dispatchers=40)
-    members = sorted(it.subset.members)
-    entries = {name: worker.listed.entry for name, worker in it.subset.known.items()}
+def test_list_of_2600_workers_is_processed_and_published_in_steps(dispatchers: int) -> None:
+    harness, count = SubsetHarness(dispatchers), 2600
+    entries = tuple(
+        ListedWorker(i.Entry(name, zone=zone_index(name)), worker_zone)
+        for name, worker_zone in make_workers(count)
+    )
+    batches = -(-count // subset_module.LIST_BATCH_WORKERS)
+    assert harness.handle(FleetListed(i.ListKind.REPLACE, entries)) == [
+        SetTimer(subset_module.NEXT_STEP_DELAY_S)
+    ]
+    for _ in range(batches):
+        assert harness.visible == {} and not harness.subset.settled
+        assert harness.handle(TimerFired()) == [SetTimer(subset_module.NEXT_STEP_DELAY_S)]
+    updates = 0
+    while not harness.subset.settled:
+        update, *timers = harness.handle(TimerFired())
+        assert isinstance(update, UpdateSubset) and len(update.workers) <= subset_module.UPDATE_BATCH_WORKERS
+        assert timers == ([] if harness.subset.settled else [SetTimer(subset_module.NEXT_STEP_DELAY_S)])
+        updates += 1
+    assert set(harness.visible) == set(harness.subset.members) and len(harness.visible) > MIN_SUBSET_WORKERS
+    assert updates == -(-len(harness.visible) // subset_module.UPDATE_BATCH_WORKERS)
+
+
+def test_workers_that_leave_or_drain_are_published_before_new_ones() -> None:
+    harness = loaded_subset(dispatchers=40)
+    members = sorted(harness.subset.members)
+    entries = {name: worker.listed.entry for name, worker in harness.subset.known.items()}
     for name in members[: len(members) // 2]:
         entries[name] = i.Entry(name, DRAINING, entries[name].zone)
     left = set(members[-3:])
-    listed = tuple(ListedWorker(e, f"zone-{e.zone}") for e in entries.values() if e.worker not in left)
-    actions = it.feed(FleetListed(i.ListKind.REPLACE, listed))
-    while not any(isinstance(action, ShowWorkers) for action in actions):
-        actions = it.feed(TimerFired())
-    shown = actions[0]
-    assert isinstance(shown, ShowWorkers) and set(shown.gone) == left
-    assert {worker.entry.health for worker in shown.workers} == {DRAINING}
-    while not it.subset.settled:
-        it.feed(TimerFired())
-    assert {n for n, e in it.shown.items() if e.health is DRAINING} == set(members[: len(members) // 2])
-
-
-def test_fleet_that_fits_into_one_subset_needs_none() -> None:
+    listed = tuple(
+        ListedWorker(entry, f"zone-{entry.zone}") for entry in entries.values() if entry.worker not in left
+    )
+    actions = harness.handle(FleetListed(i.ListKind.REPLACE, listed))
+    while not any(isinstance(action, UpdateSubset) for action in actions):
+        actions = harness.handle(TimerFired())
+    update = actions[0]
+    assert isinstance(update, UpdateSubset) and set(update.removed) == left
+    assert {worker.entry.health for worker in update.workers} == {DRAINING}
+    while not harness.subset.settled:
+        harness.handle(TimerFired())
+    assert {visible for visible, entry in harness.visible.items() if entry.health is DRAINING} == set(
+        members[: len(members) // 2]
+    )
+
+
+def test_fleet_that_fits_into_one_subset_has_no_subsets() -> None:
     assert subset_size(200, 40, 3, largest_whole_view=0) is None
-    assert subset_size(200, LARGEST_WHOLE_VIEW, 3) is None
-    assert subset_size(200, LARGEST_WHOLE_VIEW + 1, 3) is not None
+    assert subset_size(200, LARGEST_WHOLE_VIEW_WORKERS, 3) is None
+    assert subset_size(200, LARGEST_WHOLE_VIEW_WORKERS + 1, 3) is not None
     assert subset_size(3, 1300, 3) is None
     assert subset_size(1, 1300, 1) is None
     assert subset_size(200, 0, 3, largest_whole_view=0) is None
 
 
-def test_settings_of_a_subset_keep_the_tenants_part_and_count_those_who_share_its_workers() -> None:
-    whole = i.Settings(classes=(CLASS,), tenants=(i.Tenant("team", 100.0),), dispatchers=200)
-    part = settings_for_subset(whole, 8)
-    assert part.dispatchers == 8
-    assert part.tenants[0].quota / 8 == pytest.approx(whole.tenants[0].quota / 200)
+def test_subset_settings_keep_tenant_quotas_and_count_the_dispatchers_per_worker() -> None:
+    fleet_settings = i.Settings(classes=(CLASS,), tenants=(i.Tenant("team", 100.0),), dispatchers=200)
+    subset_settings = settings_for_subset(fleet_settings, 8)
+    assert subset_settings.dispatchers == 8
+    assert subset_settings.tenants[0].quota / 8 == pytest.approx(fleet_settings.tenants[0].quota / 200)
 
 
-# Bad input.
+# Invalid input.
 
 
 def test_zero_dispatchers_are_refused() -> None:
@@ -285,66 +311,72 @@
         subset_size(0, 1300, 6)
 
 
-def test_name_that_the_fleet_does_not_know_is_refused() -> None:
+def test_own_name_missing_from_the_dispatchers_is_refused() -> None:
     with pytest.raises(UnknownDispatcherError, match="'n200' is not among the 200 names"):
-        Held(own="n200")
+        SubsetHarness(own="n200")
 
 
-def test_two_dispatchers_of_one_name_are_refused() -> None:
-    twice = (*fleet_of(50), Dispatcher("n7", "zone-1"))
+def test_duplicate_dispatcher_name_is_refused() -> None:
+    dispatchers = (*make_dispatchers(50), Dispatcher("n7", "zone-1"))
     with pytest.raises(ValueError, match="'n7' read twice; each name once is allowed"):
-        Ranking(twice, "n3", SubsetSize(6, 2))
+        Ranking(dispatchers, "n3", SubsetSize(6, 2))
 
 
 def test_workers_without_a_zone_are_shared_by_all_dispatchers() -> None:
-    workers = [(name, "") for name, _ in workers_of(300)]
-    held_by = memberships(fleet_of(40), workers, SubsetSize(6, 2))
-    assert set(Counter(name for names in held_by.values() for name in names).values()) == {8}
+    workers = [(name, "") for name, _ in make_workers(300)]
+    workers_of = memberships(make_dispatchers(40), workers, SubsetSize(6, 2))
+    assert set(Counter(name for names in workers_of.values() for name in names).values()) == {8}
 
 
-def test_list_that_shrinks_to_nothing_is_shown_as_nothing() -> None:
-    it = held()
-    it.tell(i.ListKind.REPLACE)
-    assert it.shown == {} and it.subset.known == {}
+def test_empty_list_empties_the_subset() -> None:
+    harness = loaded_subset()
+    harness.receive(i.ListKind.REPLACE)
+    assert harness.visible == {} and harness.subset.known == {}
 
 
-def test_worker_listed_twice_counts_as_it_is_named_last() -> None:
-    it = held()
-    name = sorted(it.subset.members)[0]
-    zone = dict_zone(name)
-    it.tell(i.ListKind.UPDATE, i.Entry(name, READY, zone), i.Entry(name, DRAINING, zone))
-    assert it.shown[name].health is DRAINING
+def test_last_entry_of_a_worker_listed_twice_wins() -> None:
+    harness = loaded_subset()
+    name = sorted(harness.subset.members)[0]
+    zone = zone_index(name)
+    harness.receive(i.ListKind.UPDATE, i.Entry(name, READY, zone), i.Entry(name, DRAINING, zone))
+    assert harness.visible[name].health is DRAINING
 
 
 @settings(max_examples=60, deadline=None)
 @given(seed=st.integers(0, 1 << 30))
-def test_subset_agrees_with_the_list_after_whatever_happens(seed: int) -> None:
-    draw, it = random.Random(seed), held(count=400, dispatchers=60, size=SubsetSize(6, 2))
-    listed = {name: worker.listed.entry for name, worker in it.subset.known.items()}
+def test_subset_is_consistent_with_the_list_after_random_events(seed: int) -> None:
+    rng, harness = random.Random(seed), loaded_subset(count=400, dispatchers=60, size=SubsetSize(6, 2))
+    listed = {name: worker.listed.entry for name, worker in harness.subset.known.items()}
     for _ in range(40):
-        it.now += draw.uniform(0, 3)
-        it.wait(0.0)
-        names = draw.sample(sorted(listed), min(len(listed), draw.choice((1, 5, 60))))
-        what = draw.choice(("drain", "gone", "return", "fail", "serve", "replace"))
-        if what in ("fail", "serve"):
+        harness.now += rng.uniform(0, 3)
+        harness.wait(0.0)
+        names = rng.sample(sorted(listed), min(len(listed), rng.choice((1, 5, 60))))
+        action = rng.choice(("drain", "gone", "return", "fail", "serve", "replace"))
+        if action in ("fail", "serve"):
             for name in names:
-                for _ in range(MAX_FAILURES):
-                    it.feed(AttemptEnded(name, what == "serve"))
+                for _ in range(MAX_CONSECUTIVE_FAILURES):
+                    harness.handle(AttemptEnded(name, action == "serve"))
             continue
         for name in names:
             old = listed[name]
-            since = it.now if what == "return" else old.since
-            health = {"drain": DRAINING, "gone": GONE}.get(what, READY)
+            since = harness.now if action == "return" else old.since
+            health = {"drain": DRAINING, "gone": GONE}.get(action, READY)
             listed[name] = i.Entry(name, health, old.zone, since=since)
-        if what == "replace":
-            it.tell(i.ListKind.REPLACE, *(e for e in listed.values() if e.health is not GONE))
+        if action == "replace":
+            harness.receive(
+                i.ListKind.REPLACE, *(present for present in listed.values() if present.health is not GONE)
+            )
         else:
-            it.tell(i.ListKind.UPDATE, *(listed[name] for name in names))
-        subset = it.subset
-        assert all(listed[name] == entry for name, entry in it.shown.items())
-        assert set(it.shown) == subset.members.keys() | subset.substitutes.keys()
+            harness.receive(i.ListKind.UPDATE, *(listed[name] for name in names))
+        subset = harness.subset
+        assert all(listed[name] == entry for name, entry in harness.visible.items())
+        assert set(harness.visible) == subset.members.keys() | subset.substitutes.keys()
         assert not subset.members.keys() & subset.substitutes.keys()
-        held_now = sum(subset.capacity(subset.known[name], it.now) for name in it.shown)
-        left = sum(subset.capacity(w, it.now) > 0 for n, w in subset.known.items() if n not in it.shown)
-        full = len(it.shown) >= MAX_GROWTH * subset.share()
-        assert held_now >= REFILL_BELOW * subset.share() or not left or full
+        total_capacity = sum(subset.capacity(subset.known[name], harness.now) for name in harness.visible)
+        left = sum(
+            subset.capacity(known, harness.now) > 0
+            for known_name, known in subset.known.items()
+            if known_name not in harness.visible
+        )
+        full = len(harness.visible) >= MAX_SHARE_MULTIPLE * subset.fair_share()
+        assert total_capacity >= REFILL_THRESHOLD * subset.fair_share() or not left or full
--- a/wickgw/address/driver.py
+++ b/wickgw/address/driver.py
@@ -19,7 +19,7 @@
 from wickgw.address.keys import KeyFileError, Keys, read_keys
 from wickgw.address.store import Store
 from wickgw.address.wire import MOST, Wire
-from wickgw.config.relay import BACKLOG, ConfigError
+from wickgw.config.relay import BACKLOG_CONNECTIONS, ConfigError
 from wickgw.config.schema import AddressSettings, ServiceSettings
 from wickgw.net.clients import Clients, Listener
 from wickgw.net.dispatch import Clock
@@ -267,7 +267,7 @@
         if not why:
             try:
                 # The socket of a holder that stands still must not keep its successor from the address.
-                sock = listening(service.where, BACKLOG, shared_port=True)
+                sock = listening(service.where, BACKLOG_CONNECTIONS, shared_port=True)
                 service.listener = Listener(self.clients, sock, gate)
             except OSError as error:
                 why = f"{service.settings.at}: {error.strerror}"
--- a/wickgw/cli/__init__.py
+++ b/wickgw/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The command line: a module for each group of commands.
+"""The command line: one module for each group of commands.
 
-Nothing here decides anything: arguments are read, the parts are called, and what they say is printed with an
-exit code (0 done, 1 found wrong, 2 can't be used).
+A command parses its arguments, calls the other packages, and prints the result. The exit codes are 0 for
+success, 1 for a negative result or a failure, and 2 for unusable input.
 """
 
 import typer
--- a/wickgw/cli/common.py
+++ b/wickgw/cli/common.py
@@ -1,4 +1,4 @@
-"""What the groups of commands have in common."""
+"""Helpers that all groups of commands share."""
 
 import contextlib
 import sys
@@ -10,8 +10,8 @@
 
 
 @contextlib.contextmanager
-def told_plainly() -> Iterator[None]:
-    """A configuration that can't be used ends the program with one line and status 2."""
+def exit_on_config_error() -> Iterator[None]:
+    """Turn a ConfigError into one line on stderr and exit code 2."""
     try:
         yield
     except ConfigError as error:
--- a/wickgw/cli/serve.py
+++ b/wickgw/cli/serve.py
@@ -1,6 +1,6 @@
-"""`wickgw serve`, `check`, `version`: one dispatcher, and what it would be told.
+"""`wickgw serve`, `check`, `reference` and `version`: run one dispatcher, or show its configuration.
 
-Owns nothing but arguments, what is printed, and exit codes.
+This module parses arguments, prints results and sets exit codes.
 """
 
 import os
@@ -10,40 +10,46 @@
 import typer
 
 from wickgw import start
-from wickgw.cli.common import told_plainly
+from wickgw.cli.common import exit_on_config_error
 from wickgw.config.ini import read_ini
 from wickgw.config.relay import read_config
 from wickgw.node import check_routes
 from wickgw.version import VERSION
 
 app = typer.Typer()
-INI = typer.Option(
-    "--ini", envvar="WICKGW_INI", help="The operator's own file; deploy/wickgw.ini if it is there."
+INI_OPTION = typer.Option(
+    "--ini", envvar="WICKGW_INI", help="The operator's file; by default deploy/wickgw.ini, if it exists."
 )
 
 
 @app.command()
 def serve(
-    verbose: Annotated[bool, typer.Option("--verbose", "-v", help="Log more.")] = False,
-    ini: Annotated[Path | None, INI] = None,
+    verbose: Annotated[bool, typer.Option("--verbose", "-v", help="Write more log lines.")] = False,
+    ini: Annotated[Path | None, INI_OPTION] = None,
 ) -> None:
-    """Serve as one dispatcher, configured by RELAY_CONFIG, until SIGTERM; SIGHUP reads it again."""
+    """Serve as one dispatcher, configured by RELAY_CONFIG, until SIGTERM. SIGHUP reloads it."""
     raise typer.Exit(start.serve(ini, verbose))
 
 
 @app.command()
-def check(ini: Annotated[Path | None, INI] = None) -> None:
-    """Read the configuration as `serve` would and say what it holds."""
-    with told_plainly():
+def check(ini: Annotated[Path | None, INI_OPTION] = None) -> None:
+    """Read the configuration as `serve` does, and print a summary."""
+    with exit_on_config_error():
         config, operator = read_config(os.environ), read_ini(ini)
         check_routes(operator)
-    s = config.settings
+    settings = config.settings
     print(f"name       {config.name}")
     print(f"listen     {config.listen[0]}:{config.listen[1]}")
     print(f"discovery  {config.discovery}")
-    print(f"zone       {s.zones[s.zone] if s.zone < len(s.zones) else s.zone}")
-    for c in s.classes:
-        print(f"class      {c.name}: aim {c.aim:g} s, deadline {c.deadline:g} s, {c.effect.value}")
+    print(
+        "zone       "
+        f"{settings.zones[settings.zone] if settings.zone < len(settings.zones) else settings.zone}"
+    )
+    for job_class in settings.classes:
+        print(
+            f"class      {job_class.name}: aim {job_class.aim:g} s, deadline {job_class.deadline:g} s, "
+            f"{job_class.effect.value}"
+        )
     if operator is not None:
         print(f"log        {operator.log.format}")
     if operator is not None and operator.address is not None and operator.address.enabled:
@@ -55,10 +61,10 @@
 
 @app.command()
 def reference() -> None:
-    """Print the reference of the operator's file, made from its schema."""
-    from wickgw.config.reference import reference as page
+    """Print the reference of the operator's file, generated from its schema."""
+    from wickgw.config.reference import reference as reference_page
 
-    print(page(), end="")
+    print(reference_page(), end="")
 
 
 @app.command()
--- a/wickgw/config/__init__.py
+++ b/wickgw/config/__init__.py
@@ -1,1 +1,1 @@
-"""What a dispatcher is told: by the platform (`relay`) and by its operator (`ini`, `schema`)."""
+"""Configuration: from the platform (`relay`) and from the operator's INI file (`ini`, `schema`)."""
--- a/wickgw/config/ini.py
+++ b/wickgw/config/ini.py
@@ -1,7 +1,8 @@
-"""The operator's own file: its one reader (configparser), and its errors.
+"""Reads the operator's INI file, with configparser, and words its errors.
 
-Owns how an error is worded: file, section, key, what was read, what is allowed, on one line. A file without
-a section costs nothing: the schema is not imported for it. It must never half-accept a file.
+An error is one line: the file, the section, the key, the value read and the values allowed. A file without
+sections is cheap, because the schema is imported only if there is a section. A file is accepted or rejected
+as a whole.
 """
 
 from pathlib import Path
@@ -10,43 +11,47 @@
 from wickgw.config.relay import ConfigError
 
 if TYPE_CHECKING:
-    from wickgw.config.schema import Operator
+    from wickgw.config.schema import OperatorConfig
 
-DEFAULT = Path("deploy/wickgw.ini")
-MOST = 1 << 20  # bytes of a file
+DEFAULT_INI_PATH = Path("deploy/wickgw.ini")
+MAX_FILE_BYTES = 1 << 20
 
 
-def read_ini(path: Path | None) -> "Operator | None":
-    """The operator's settings; None if there are none. Without a path the default file is read, if it is
-    there. Raises ConfigError with one line."""
-    if path is None and not DEFAULT.exists():
+def read_ini(path: Path | None) -> "OperatorConfig | None":
+    """Return the operator's settings, or None if there are none.
+
+    Without a path, the default file is read if it exists. Raises ConfigError with a message of one line.
+    """
+    if path is None and not DEFAULT_INI_PATH.exists():
         return None
-    path = path or DEFAULT
-    text = _text(path)
+    path = path or DEFAULT_INI_PATH
+    text = _read_text(path)
     if all(not line.strip() or line.lstrip()[0] in "#;" for line in text.splitlines()):
-        return None  # all is off: a file of remarks costs nothing
-    raw, lines = _read(path, text)
+        return None  # only comments: all features are disabled
+    raw, lines = _parse_sections(path, text)
     if not raw:
         return None
-    for beside in raw.get("routing", {}).get("expectations", "").split():
-        more, more_lines = _read(path.parent / beside, _text(path.parent / beside))
-        for title in more:
+    for file_name in raw.get("routing", {}).get("expectations", "").split():
+        included, included_lines = _parse_sections(
+            path.parent / file_name, _read_text(path.parent / file_name)
+        )
+        for title in included:
             if title.partition(":")[0] not in ("expect", "worker"):
                 raise ConfigError(
-                    f"{path.parent / beside}: [{title}]: only [expect:NAME] and [worker:NAME] are allowed"
+                    f"{path.parent / file_name}: [{title}]: only [expect:NAME] and [worker:NAME] are allowed"
                 )
             if title in raw:
-                raise ConfigError(f"{path.parent / beside}: [{title}]: it is in another file already")
-        raw |= more
-        lines |= more_lines
-    return _checked(path, raw, lines)
+                raise ConfigError(f"{path.parent / file_name}: [{title}]: already in another file")
+        raw |= included
+        lines |= included_lines
+    return _validate(path, raw, lines)
 
 
-def _text(path: Path) -> str:
-    """A file's text. Raises ConfigError."""
+def _read_text(path: Path) -> str:
+    """Return the text of a file. Raises ConfigError."""
     try:
-        if path.stat().st_size > MOST:
-            raise ConfigError(f"{path}: larger than {MOST} bytes")
+        if path.stat().st_size > MAX_FILE_BYTES:
+            raise ConfigError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
         return path.read_text("utf-8")
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from error
@@ -54,8 +59,8 @@
         raise ConfigError(f"{path}: not UTF-8 at byte {error.start}") from error
 
 
-def _read(path: Path, text: str) -> tuple[dict[str, dict[str, str]], dict[str, int]]:
-    """The sections of a file, and the line on which each begins. Raises ConfigError."""
+def _parse_sections(path: Path, text: str) -> tuple[dict[str, dict[str, str]], dict[str, int]]:
+    """Return the sections of a file, and the line number of each section. Raises ConfigError."""
     import configparser
 
     parser = configparser.ConfigParser(interpolation=None, delimiters=("=",), default_section="")
@@ -64,45 +69,47 @@
         parser.read_string(text, str(path))
     except configparser.Error as error:
         raise ConfigError(" ".join(str(error).split())) from error
-    numbered = enumerate(text.splitlines(), 1)
+    numbered_lines = enumerate(text.splitlines(), 1)
     lines = {
-        line.strip()[1:-1]: n for n, line in numbered if line.startswith("[") and line.strip()[-1] == "]"
+        line.strip()[1:-1]: number
+        for number, line in numbered_lines
+        if line.startswith("[") and line.strip()[-1] == "]"
     }
     return {title: dict(parser.items(title)) for title in parser.sections()}, lines
 
 
-def _checked(path: Path, raw: dict[str, dict[str, str]], lines: dict[str, int]) -> "Operator":
+def _validate(path: Path, raw: dict[str, dict[str, str]], lines: dict[str, int]) -> "OperatorConfig":
     from pydantic import ValidationError
 
-    from wickgw.config.schema import Operator, sections
+    from wickgw.config.schema import OperatorConfig, build_model_data
 
     try:
-        return Operator.model_validate(sections(raw, lines))
+        return OperatorConfig.model_validate(build_model_data(raw, lines))
     except ValidationError as error:
-        raise ConfigError(f"{path}: {_worded(error.errors()[0])}") from error
+        raise ConfigError(f"{path}: {_format_error(error.errors()[0])}") from error
     except ValueError as error:
         raise ConfigError(f"{path}: {error}") from error
 
 
-def _worded(error: Any) -> str:
-    """`[section] key: 'value' read, ... allowed`."""
-    place = [str(part) for part in error["loc"]]
-    section, keys = (place[0] if place else "file"), place[1:]
-    from wickgw.config.schema import TABLES
+def _format_error(error: Any) -> str:
+    """Return the text of a validation error: `[section] key: 'value' read; ...`."""
+    location = [str(part) for part in error["loc"]]
+    section, keys = (location[0] if location else "file"), location[1:]
+    from wickgw.config.schema import SUBSECTIONS
 
-    kinds = {table: kind for kind, table in TABLES.items()}
+    kinds = {table: kind for kind, table in SUBSECTIONS.items()}
     if len(keys) > 1 and (kind := kinds.get((section, keys[0]))):
         section, keys = f"{kind}:{keys[1]}", keys[2:]
-    key = ".".join(k for k in keys if k != "[key]")
+    key = ".".join(name for name in keys if name != "[key]")
     message = error["msg"].removeprefix("Value error, ")
     if error["type"] == "missing":
-        what = "missing"
+        problem = "missing"
     elif error["type"] == "extra_forbidden":
-        what = "no such key"
+        problem = "no such key"
     elif isinstance(error["input"], str):
-        # A message that begins with a name in capitals keeps it.
-        begins = message[:2].lower() if message[1:2].islower() else message[:2]
-        what = f"{error['input']!r} read; {begins}{message[2:]}"
+        # The first letter becomes lower case, unless an upper-case name begins the message.
+        beginning = message[:2].lower() if message[1:2].islower() else message[:2]
+        problem = f"{error['input']!r} read; {beginning}{message[2:]}"
     else:
-        what = message
-    return f"[{section}] {key}: {what}" if key else f"[{section}] {what}"
+        problem = message
+    return f"[{section}] {key}: {problem}" if key else f"[{section}] {problem}"
--- a/wickgw/config/relay.py
+++ b/wickgw/config/relay.py
@@ -1,7 +1,7 @@
-"""The platform's configuration: RELAY_CONFIG and the environment around it.
+"""Reads the platform's configuration: the file that RELAY_CONFIG names, and the environment variables.
 
-Owns its one reader, which serves the start, a reload and `wickgw check` alike. It must never let a
-configuration through that a dispatcher could not start on, nor say what is wrong in more than one line.
+The start, a reload and `wickgw check` use the same reader. A configuration that a dispatcher can't start with
+is rejected with an error of one line.
 """
 
 import json
@@ -18,35 +18,36 @@
 from wickgw.net.listen import address, listening
 from wickgw.validate import check
 
-FEWEST_DESCRIPTORS = 32
-PASSED = "RELAY_PASSED_SOCKET"
-BACKLOG = 1024  # connections of clients that may wait to be accepted
+MIN_DESCRIPTORS = 32
+PASSED_SOCKET_VARIABLE = "RELAY_PASSED_SOCKET"
+BACKLOG_CONNECTIONS = 1024  # client connections that wait to be accepted
 
 
 class ConfigError(Exception):
-    """The configuration or the environment can't be used."""
+    """The configuration or the environment is invalid or can't be used."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What a dispatcher is told at its start."""
+    """The configuration of one dispatcher."""
 
     name: str
-    listen: tuple[str, int]
-    discovery: str
-    seed: int
-    descriptors: int
-    memory_mb: float
+    listen: tuple[str, int]  # host and port for clients
+    discovery: str  # HOST:PORT of the discovery service
+    seed: int  # of the random number generator
+    descriptors: int  # the limit on open sockets
+    memory_mb: float  # the limit on memory
     settings: i.Settings
-    known: Any  # the list as it was held last, in discovery's form; None if there was none
-    mgmt: tuple[str, int] | None = None  # the second address, for the calls of operators
-    passed: int | None = None  # the descriptor of a listening socket that the platform holds for clients
-    path: str = "RELAY_CONFIG"  # the file it was read from, to be named in errors
+    known: Any  # the last known list of workers, in discovery's format; None if there is none
+    mgmt: tuple[str, int] | None = None  # host and port of the management port
+    # The descriptor of a listening socket for clients that the platform passed to the process.
+    passed_descriptor: int | None = None
+    path: str = "RELAY_CONFIG"  # the file, for error messages
 
 
 @dataclass(frozen=True, slots=True)
-class Sources:
-    """Where a process's settings were read, so that they can be read again."""
+class ConfigSources:
+    """Where the settings of a process are read from, for reloads."""
 
     environ: Mapping[str, str]
     ini: Path | None = None
@@ -54,7 +55,7 @@
 
 
 def read_config(environ: Mapping[str, str]) -> Config:
-    """The configuration named by the environment. Raises ConfigError with one plain line."""
+    """Read the configuration that `environ` names. Raises ConfigError with a message of one line."""
     path = environ.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
@@ -68,64 +69,77 @@
         raise ConfigError(f"{path}: not an object")
 
     def text(key: str, file_first: bool = False) -> str:
-        told = environ.get(f"RELAY_{key.upper()}"), raw.get(key)
-        value = (told[1] or told[0]) if file_first else (told[0] or told[1])
+        values = environ.get(f"RELAY_{key.upper()}"), raw.get(key)
+        value = (values[1] or values[0]) if file_first else (values[0] or values[1])
         if not isinstance(value, str) or not value:
             raise ConfigError(f"{path}: {key} is missing")
         return value
 
-    # The file can be replaced while the process runs, its environment can't: where discovery is, which may
-    # change, is the file's to say. Name and listening address hold for the process's life.
+    # The file can be replaced while the process runs, its environment can't. The address of discovery may
+    # change, so the file has precedence for it. Name and listening address are fixed for the process.
     name, listen, discovery = text("name"), text("listen"), text("discovery", file_first=True)
     try:
-        where = address(listen)
+        listen_address = address(listen)
         address(discovery)
         settings = read_settings(raw["settings"])
         check(settings)
         seed = raw.get("seed", 0)
         limits = raw.get("limits", {})
-        descriptors, memory = limits.get("sockets", 1024), float(limits.get("memory_mb", 192))
-        if type(descriptors) is not int or descriptors < FEWEST_DESCRIPTORS:
+        descriptors, memory_mb = limits.get("sockets", 1024), float(limits.get("memory_mb", 192))
+        if type(descriptors) is not int or descriptors < MIN_DESCRIPTORS:
             raise ValueError(f"limits.sockets: {descriptors!r} is too few")
-        if not 0 < memory < math.inf:
-            raise ValueError(f"limits.memory_mb: {memory!r} can't be")
+        if not 0 < memory_mb < math.inf:
+            raise ValueError(f"limits.memory_mb: {memory_mb!r} is not a positive, finite number")
         seed = int(seed, 16) if isinstance(seed, str) else int(seed)
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        what = f"{error} is missing" if isinstance(error, KeyError) else str(error)
-        raise ConfigError(f"{path}: {what}") from error
-    # Like name and listen, the environment's first: an upgrade's second process is given its own there.
-    mgmt, at = environ.get("RELAY_MGMT") or raw.get("mgmt"), None
+        problem = f"{error} is missing" if isinstance(error, KeyError) else str(error)
+        raise ConfigError(f"{path}: {problem}") from error
+    # As for name and listen, the environment has precedence: during an upgrade, the second process receives
+    # its own management address there.
+    mgmt, mgmt_address = environ.get("RELAY_MGMT") or raw.get("mgmt"), None
     if mgmt is not None and mgmt != "":
         try:
             if not isinstance(mgmt, str):
                 raise ValueError(f"not an address: {mgmt!r}")
-            at = address(mgmt)
+            mgmt_address = address(mgmt)
         except ValueError as error:
             raise ConfigError(
                 f"{path}: mgmt (or RELAY_MGMT): {error}; HOST:PORT of IPv4 is allowed"
             ) from error
-    passed = passed_socket(environ.get(PASSED))
+    passed_descriptor = passed_socket(environ.get(PASSED_SOCKET_VARIABLE))
     return Config(
-        name, where, discovery, seed, descriptors, memory, settings, raw.get("known"), at, passed, path
+        name,
+        listen_address,
+        discovery,
+        seed,
+        descriptors,
+        memory_mb,
+        settings,
+        raw.get("known"),
+        mgmt_address,
+        passed_descriptor,
+        path,
     )
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
-    """The sockets that a dispatcher listens at. Whoever holds this closes them."""
+class ListeningSockets:
+    """The sockets on which a dispatcher listens. The owner of this object closes them."""
 
     clients: socket.socket
     mgmt: socket.socket | None
-    # When the clients' one began to listen, on the monotonic clock; None if that was another process's doing.
-    since: float | None = None
+    # When `clients` began to listen, on the monotonic clock; None if another process opened the socket.
+    listening_since: float | None = None
 
 
-def open_sockets(config: Config) -> Opened:
-    """Listen where the configuration says, or take the socket that the platform holds. Raises ConfigError,
-    with nothing left open."""
+def open_sockets(config: Config) -> ListeningSockets:
+    """Listen on the configured addresses, or use the socket that the platform passed.
+
+    Raises ConfigError; no socket is left open then.
+    """
     mgmt = None
     if config.mgmt is not None:
-        # Before clients: a process that can't take calls ends before it has taken anybody's job.
+        # The management port is opened first: a process that can't open it exits before it accepts a job.
         host, port = config.mgmt
         try:
             mgmt = listening(config.mgmt, 128)
@@ -134,15 +148,15 @@
                 f"{config.path}: mgmt (or RELAY_MGMT): can't listen at {host}:{port}: "
                 f"{error.strerror}; a free address of this host is allowed"
             ) from error
-    if config.passed is not None:
-        # It is shared with the process before or after this one: it is never bound, and closing it here
-        # closes only this process's descriptor, so that the queue in it stays whole for the other.
-        clients = socket.socket(fileno=config.passed)
+    if config.passed_descriptor is not None:
+        # The socket is shared with the process before or after this one. It is not bound again. Closing it
+        # closes only this process's descriptor, so the other process keeps the queue of connections.
+        clients = socket.socket(fileno=config.passed_descriptor)
         clients.setblocking(False)
-        return Opened(clients, mgmt)
+        return ListeningSockets(clients, mgmt)
     try:
-        since = time.monotonic()  # before the first connection can have come
-        return Opened(listening(config.listen, BACKLOG), mgmt, since)
+        since = time.monotonic()  # before the first connection can arrive
+        return ListeningSockets(listening(config.listen, BACKLOG_CONNECTIONS), mgmt, since)
     except OSError as error:
         if mgmt is not None:
             mgmt.close()
@@ -151,23 +165,26 @@
         ) from error
 
 
-def passed_socket(told: str | None) -> int | None:
-    """The descriptor that $RELAY_PASSED_SOCKET names, once it is seen to be a listening TCP socket. The
-    socket is only looked at: it is the platform's, and held by other processes too. Raises ConfigError."""
-    if told is None or not told.strip():
+def passed_socket(value: str | None) -> int | None:
+    """Return the descriptor that $RELAY_PASSED_SOCKET names, or None if the variable is empty.
+
+    Raises ConfigError unless the descriptor is a listening TCP socket. The socket itself is not changed,
+    because it belongs to the platform and other processes use it too.
+    """
+    if value is None or not value.strip():
         return None
     allowed = "the number of an open, listening TCP socket is allowed"
-    if not told.strip().isdigit():
-        raise ConfigError(f"{PASSED}: {told!r}; {allowed}")
-    number = int(told)
+    if not value.strip().isdigit():
+        raise ConfigError(f"{PASSED_SOCKET_VARIABLE}: {value!r}; {allowed}")
+    descriptor = int(value)
     try:
-        # fromfd makes a copy, so that looking closes nothing of the platform's.
-        with socket.fromfd(number, socket.AF_INET, socket.SOCK_STREAM) as sock:
+        # fromfd duplicates the descriptor, so the platform's socket stays open.
+        with socket.fromfd(descriptor, socket.AF_INET, socket.SOCK_STREAM) as sock:
             kind = sock.getsockopt(socket.SOL_SOCKET, socket.SO_TYPE)
             listening = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
             family = sock.getsockopt(socket.SOL_SOCKET, socket.SO_DOMAIN)
     except OSError as error:
-        raise ConfigError(f"{PASSED}: {number}: {error.strerror}; {allowed}") from error
+        raise ConfigError(f"{PASSED_SOCKET_VARIABLE}: {descriptor}: {error.strerror}; {allowed}") from error
     if kind != socket.SOCK_STREAM or family != socket.AF_INET or not listening:
-        raise ConfigError(f"{PASSED}: {number} is not a listening TCP socket; {allowed}")
-    return number
+        raise ConfigError(f"{PASSED_SOCKET_VARIABLE}: {descriptor} is not a listening TCP socket; {allowed}")
+    return descriptor
--- a/wickgw/config/routes.py
+++ b/wickgw/config/routes.py
@@ -1,189 +1,218 @@
-"""From the operator's sections to a table of routes, and to the plan that checks read.
+"""Converts the operator's sections to a routing table, and to the plan for the checks.
 
-Owns what the words of a section mean: matches, pools, fleets, expectations. It must never look anything up in
-a table, nor decide what an expectation comes to.
+This module parses the values of a section: matchers, pools, fleets and expectations. It does not look up
+requests, except to reject routes that tie, and does not evaluate expectations.
 """
 
 import re
 from collections.abc import Callable
-from pathlib import Path as FilePath
+from pathlib import Path
 from typing import TypeVar
 
 from wickgw.config.ini import read_ini
 from wickgw.config.relay import ConfigError
 from wickgw.config.schema import ExpectSettings, PoolSettings, RouteMatch, RouteSettings, RoutingSettings
-from wickgw.routing.check import Expectation, Plan, Wanted
-from wickgw.routing.fleet import Condition, Given, Selector
-from wickgw.routing.match import Header, Match, Path, host_of, path_of
-from wickgw.routing.table import Pool, Route, State, Table, Worker
+from wickgw.routing.check import CheckPlan, Expectation, ExpectedResult
+from wickgw.routing.fleet import FleetCondition, FleetSet, Selector
+from wickgw.routing.match import HeaderMatcher, PathMatcher, RequestMatcher, parse_host, parse_path
+from wickgw.routing.table import Pool, Route, Table, Worker, WorkerState
 
 T = TypeVar("T")
-STATES = {
-    "draining": frozenset({State.DRAINING}),
-    "gone": frozenset({State.GONE}),
-    "out": frozenset({State.DRAINING, State.GONE}),
+STATES_BY_WORD = {
+    "draining": frozenset({WorkerState.DRAINING}),
+    "gone": frozenset({WorkerState.GONE}),
+    "out": frozenset({WorkerState.DRAINING, WorkerState.GONE}),
 }
-KINDS = ("pool", "zone", "workers", "refused", "not-found", "attempts")
+RESULT_KINDS = ("pool", "zone", "workers", "refused", "not-found", "attempts")
 
 
-def table_of(settings: RoutingSettings) -> Table:
-    """The table that serves. Raises ConfigError."""
-    pools = [_pool(name, pool) for name, pool in settings.pools.items()]
-    return Table([_route(name, route) for name, route in settings.routes.items()], pools)
+def build_table(settings: RoutingSettings) -> Table:
+    """Return the routing table. Raises ConfigError."""
+    pools = [_build_pool(name, pool) for name, pool in settings.pools.items()]
+    return Table([_build_route(name, route) for name, route in settings.routes.items()], pools)
 
 
-def refuse_ties(settings: RoutingSettings) -> None:
-    """Before serving: raises ConfigError if two routes are equally specific on some request, and shows it.
-    What can't be decided within bounds is left to `wickgw route check`, which says `unknown`."""
-    from wickgw.routing.automata import NotRegular, TooLarge
-    from wickgw.routing.space import cells
+def reject_tied_routes(settings: RoutingSettings) -> None:
+    """Raise ConfigError, with an example, if several routes are equally specific for a request.
 
-    table = table_of(settings)
+    This runs before a dispatcher serves. If the bounds are exceeded, the routes are accepted; `wickgw route
+    check` then reports `unknown`.
+    """
+    from wickgw.routing.automata import BoundExceededError, NotRegularError
+    from wickgw.routing.space import equivalence_classes
+
+    table = build_table(settings)
     try:
-        for cell in cells([route.match for route in table.routes], settings.zones):
-            tied = table.take(cell.witness).tied
+        for equivalence_class in equivalence_classes(
+            [route.matcher for route in table.routes], settings.zones
+        ):
+            tied = table.lookup(equivalence_class.witness).tied
             if tied:
                 names = " and ".join(f"[route:{route.name}]" for route in tied)
                 raise ConfigError(
-                    f"{names} tie on {cell.witness.told()}; a priority for one of them is needed"
+                    f"{names} tie on {equivalence_class.witness.describe()}; "
+                    "a priority for one of them is needed"
                 )
-    except (NotRegular, TooLarge):
+    except (NotRegularError, BoundExceededError):
         return
 
 
-def plan_of(settings: RoutingSettings) -> Plan:
-    """All that can be checked without traffic. Raises ConfigError."""
-    workers = [Worker(name, w.zone, w.model, w.group) for name, w in settings.workers.items()]
-    return Plan(
-        table_of(settings),
+def build_plan(settings: RoutingSettings) -> CheckPlan:
+    """Return the plan for the checks. Raises ConfigError."""
+    workers = [
+        Worker(name, worker.zone, worker.model, worker.group) for name, worker in settings.workers.items()
+    ]
+    return CheckPlan(
+        build_table(settings),
         settings.zones,
         tuple(workers),
         settings.classes,
-        tuple(_expectation(name, e) for name, e in settings.expects.items()),
+        tuple(_build_expectation(name, expectation) for name, expectation in settings.expects.items()),
         settings.attempts,
     )
 
 
-def read_plan(path: FilePath) -> Plan:
-    """The plan of a file. Raises ConfigError."""
+def read_plan(path: Path) -> CheckPlan:
+    """Read the plan for the checks from a file. Raises ConfigError."""
     operator = read_ini(path)
     if operator is None or operator.routing is None:
         raise ConfigError(f"{path}: no section [routing]")
     try:
-        return plan_of(operator.routing)
+        return build_plan(operator.routing)
     except ConfigError as error:
         raise ConfigError(f"{path}: {error}") from error
 
 
-def _meant(section: str, key: str, read: Callable[[str], T], texts: tuple[str, ...]) -> tuple[T, ...]:
-    found = []
+def _parse_all(section: str, key: str, parse: Callable[[str], T], texts: tuple[str, ...]) -> tuple[T, ...]:
+    """Return `parse` of each text. Turns a ValueError into a ConfigError that names section and key."""
+    parsed = []
     for text in texts:
         try:
-            found.append(read(text))
+            parsed.append(parse(text))
         except ValueError as error:
             raise ConfigError(f"[{section}] {key}: {text!r} read; {error}") from error
-    return tuple(found)
+    return tuple(parsed)
 
 
-def _match(section: str, said: RouteMatch) -> Match:
-    paths: list[Path] = []
-    for kind, texts in (("exact", said.path), ("prefix", said.path_prefix), ("pattern", said.path_pattern)):
+def _build_matcher(section: str, settings: RouteMatch) -> RequestMatcher:
+    """Return the matcher of a route or expectation. `section` is its title. Raises ConfigError."""
+    paths: list[PathMatcher] = []
+    for kind, texts in (
+        ("exact", settings.path),
+        ("prefix", settings.path_prefix),
+        ("pattern", settings.path_pattern),
+    ):
         key = "path" if kind == "exact" else f"path_{kind}"
-        paths += _meant(section, key, lambda text, kind=kind: path_of(kind, text), texts)  # type: ignore[misc]
-    classes = _meant(section, "class", lambda text: path_of("prefix", f"/{text}"), said.job_class)
-    headers = tuple(_header(name, value) for name, value in said.headers.items())
-    return Match(
-        _meant(section, "host", host_of, said.host),
+        paths += _parse_all(section, key, lambda text, kind=kind: parse_path(kind, text), texts)  # type: ignore[misc]
+    classes = _parse_all(section, "class", lambda text: parse_path("prefix", f"/{text}"), settings.job_class)
+    headers = tuple(_parse_header(name, value) for name, value in settings.headers.items())
+    return RequestMatcher(
+        _parse_all(section, "host", parse_host, settings.host),
         tuple(paths),
         classes,
-        frozenset(method.upper() for method in said.method),
-        frozenset(said.zone),
+        frozenset(method.upper() for method in settings.method),
+        frozenset(settings.zone),
         headers,
     )
 
 
-def _header(name: str, text: str) -> Header:
+def _parse_header(name: str, text: str) -> HeaderMatcher:
+    """Parse `present`, `absent`, a list of values, or `not` and a list of values."""
     words = text.split()
     if words in (["present"], ["absent"]):
-        return Header(name, words[0])
+        return HeaderMatcher(name, words[0])
     if words[:1] == ["not"]:
-        return Header(name, "none-of", frozenset(words[1:]))
-    return Header(name, "one-of", frozenset(words))
+        return HeaderMatcher(name, "none-of", frozenset(words[1:]))
+    return HeaderMatcher(name, "one-of", frozenset(words))
 
 
-def _pool(name: str, said: PoolSettings) -> Pool:
-    out, _, number = said.out.partition(" ")
-    groups = frozenset(int(g) for g in said.group)
+def _build_pool(name: str, settings: PoolSettings) -> Pool:
+    out, _, number = settings.out.partition(" ")
+    groups = frozenset(int(group) for group in settings.group)
     return Pool(
         name,
-        frozenset(said.zone),
-        frozenset(said.model),
+        frozenset(settings.zone),
+        frozenset(settings.model),
         groups,
-        said.name,
+        settings.name,
         out,
         int(number) if number else 1,
     )
 
 
-def _route(name: str, said: RouteSettings) -> Route:
-    limit = None if said.time_limit_ms is None else said.time_limit_ms / 1000
-    match = _match(f"route:{name}", said)
-    return Route(name, match, said.pools, said.priority, said.attempts, limit, said.line)
+def _build_route(name: str, settings: RouteSettings) -> Route:
+    time_limit_s = None if settings.time_limit_ms is None else settings.time_limit_ms / 1000
+    matcher = _build_matcher(f"route:{name}", settings)
+    return Route(
+        name,
+        matcher,
+        settings.pools,
+        settings.priority,
+        settings.attempts,
+        time_limit_s,
+        settings.line,
+    )
 
 
-def _expectation(name: str, said: ExpectSettings) -> Expectation:
+def _build_expectation(name: str, settings: ExpectSettings) -> Expectation:
     section = f"expect:{name}"
-    key, text = ("never", said.never) if said.never else ("expect", said.expect)
+    key, text = ("never", settings.never) if settings.never else ("expect", settings.expect)
     return Expectation(
         name,
-        _match(section, said),
-        fleet_of(section, said.fleet),
-        _wanted(section, key, text),
-        bool(said.never),
-        tuple(Condition(STATES[word], who) for word, who in _troubles(section, "unless", said.unless)),
-        said.why,
-        said.line,
+        _build_matcher(section, settings),
+        parse_fleet(section, settings.fleet),
+        _parse_result(section, key, text),
+        bool(settings.never),
+        tuple(
+            FleetCondition(STATES_BY_WORD[word], selector)
+            for word, selector in _parse_conditions(section, "unless", settings.unless)
+        ),
+        settings.why,
+        settings.line,
     )
 
 
-def _wanted(section: str, key: str, text: str) -> Wanted:
+def _parse_result(section: str, key: str, text: str) -> ExpectedResult:
+    """Parse the value of the key `expect` or `never`. Raises ConfigError."""
     words = text.replace("not found", "not-found").split()
     kind, values = words[0], tuple(words[1:])
-    fits = {"refused": not values, "not-found": not values, "attempts": len(values) == 1}.get(
+    valid = {"refused": not values, "not-found": not values, "attempts": len(values) == 1}.get(
         kind, bool(values)
     )
-    if kind not in KINDS or not fits or (kind == "attempts" and not re.fullmatch("[1-6]", values[0])):
+    if kind not in RESULT_KINDS or not valid or (kind == "attempts" and not re.fullmatch("[1-6]", values[0])):
         raise ConfigError(
             f"[{section}] {key}: {text!r} read; pool, zone or workers with names, refused, not found, or "
             "attempts with 1 to 6 is allowed"
         )
-    return Wanted(kind, values)
+    return ExpectedResult(kind, values)
 
 
-def fleet_of(section: str, text: str) -> Given:
-    """A set of fleets in an operator's words. Raises ConfigError."""
+def parse_fleet(section: str, text: str) -> FleetSet:
+    """Parse a set of fleets, in the format of the key `fleet`. Raises ConfigError."""
     if text == "any":
-        return Given()
+        return FleetSet()
     if text == "all ready":
-        return Given(any=False)
-    states = {"draining": State.DRAINING, "gone": State.GONE}
-    said = [(states.get(word), selector) for word, selector in _troubles(section, "fleet", text)]
-    if any(state is None for state, _ in said):
+        return FleetSet(any=False)
+    states_by_word = {"draining": WorkerState.DRAINING, "gone": WorkerState.GONE}
+    conditions = [
+        (states_by_word.get(word), selector) for word, selector in _parse_conditions(section, "fleet", text)
+    ]
+    if any(state is None for state, _ in conditions):
         raise ConfigError(f"[{section}] fleet: {text!r} read; draining or gone is allowed, not out")
-    return Given(False, tuple((state, selector) for state, selector in said if state is not None))
+    return FleetSet(False, tuple((state, selector) for state, selector in conditions if state is not None))
 
 
-def _troubles(section: str, key: str, text: str) -> list[tuple[str, Selector]]:
-    """`draining zone:dallas; gone w1 w2`."""
-    found = []
+def _parse_conditions(section: str, key: str, text: str) -> list[tuple[str, Selector]]:
+    """Parse states with selectors, as in `draining zone:dallas; gone w1 w2`. Raises ConfigError."""
+    conditions = []
     for part in filter(None, (part.strip() for part in text.split(";"))):
-        state, *names = part.split()
-        if state not in STATES or not names:
+        word, *names = part.split()
+        if word not in STATES_BY_WORD or not names:
             raise ConfigError(
                 f"[{section}] {key}: {part!r} read; draining, gone or out with zone:ZONE or names of workers "
                 "is allowed" + ("; also any, all ready" if key == "fleet" else "")
             )
         for name in names:
             kind = "zone" if name.startswith("zone:") else "workers"
-            found.append((state, Selector(kind, name.removeprefix("zone:"))))
-    return found
+            conditions.append((word, Selector(kind, name.removeprefix("zone:"))))
+    return conditions
--- a/wickgw/emulator/hollow/dispatcher.py
+++ b/wickgw/emulator/hollow/dispatcher.py
@@ -68,9 +68,9 @@
         self._later(i.Outcome(self.job.name, self.number, i.Verdict.RESET))
 
 
-def shown_entries(action: s.ShowWorkers[s.ListedWorker]) -> tuple[i.Entry, ...]:
+def shown_entries(action: s.UpdateSubset[s.ListedWorker]) -> tuple[i.Entry, ...]:
     """What subsetting shows, as the decision module is told it."""
-    gone = (i.Entry(worker, i.Health.GONE) for worker in action.gone)
+    gone = (i.Entry(worker, i.Health.GONE) for worker in action.removed)
     return (*gone, *(worker.entry for worker in action.workers))
 
 
@@ -106,7 +106,7 @@
         self.subset = None
         if size is not None:
             self.subset = WorkerSubset(self.fleet.identities, self.name, size, settings)
-            settings = settings_for_subset(settings, size.memberships)
+            settings = settings_for_subset(settings, size.dispatchers_per_worker)
         self.balancer = TimedBalancer(settings, self.fleet.seed * 1000 + self.number + self.life * 100_000)
         self.feed(i.Began())
         self.list(i.ListKind.RESTORED, tuple(self.told.values()))
@@ -145,7 +145,7 @@
         assert self.subset is not None
         for action in self.cost.handle_subset(self.subset, event, self.fleet.clock.now):
             match action:
-                case s.ShowWorkers():
+                case s.UpdateSubset():
                     self.feed(i.WorkerList(i.ListKind.UPDATE, shown_entries(action)))
                 case s.SetTimer(after):
                     self._subset_timer += 1
--- a/wickgw/net/pool_server.py
+++ b/wickgw/net/pool_server.py
@@ -50,7 +50,7 @@
             from wickgw.net import subset_driver
             from wickgw.subsetting import sizing
 
-            settings = sizing.settings_for_subset(settings, core.size.memberships)
+            settings = sizing.settings_for_subset(settings, core.size.dispatchers_per_worker)
             self.subset = subset_driver.SubsetDriver(core, loop, clock, self._show)
         self.connections = WorkerConnections(
             loop, sockets, settings.connect_timeout, settings.idle_close, settings.free_slots
--- a/wickgw/net/pools.py
+++ b/wickgw/net/pools.py
@@ -83,7 +83,7 @@
 
     def _serve(self, pool: "Pool") -> PoolServer:
         def has(target: Target) -> bool:
-            return pool.has(worker_of(target))
+            return pool.includes(worker_of(target))
 
         shared = self.config, self.loop, self.clock, self.sockets
         return PoolServer(pool.name, has, *shared, self.subsetting)
@@ -126,7 +126,7 @@
         if self.table is None:
             return Choice(self.servers[""], unquote(request.path[1:].partition("/")[0]))
         asked = self.normal(request)
-        taken = self.table.take(asked)
+        taken = self.table.lookup(asked)
         route = taken.route
         if route is None:
             self.counters["routes.none"] += 1
@@ -137,7 +137,7 @@
         self.counters[f"routes.{route.name}"] += 1
         if out:
             self.counters["routes.out"] += 1
-        limit = float("inf") if route.time_limit is None else route.time_limit
+        limit = float("inf") if route.time_limit_s is None else route.time_limit_s
         return Choice(self.servers[name], unquote(asked.job_class), route.attempts, limit)
 
     def normal(self, request: http.Request) -> "Request":
@@ -149,7 +149,7 @@
         known = self.config.settings.zones
         try:
             host, path = normal.host(request.headers.get("host", "")), normal.path(request.path)
-        except normal.Malformed as error:
+        except normal.MalformedError as error:
             raise NoRouteError(str(error), malformed=True) from error
         return Request(host, path, request.method, zone if zone in known else self.zone, request.headers)
 
@@ -159,7 +159,7 @@
         names = tuple(route.name for route in routes)
         if names not in self.ties and len(self.ties) < 100:
             self.ties.add(names)
-            log.warning("route.tied", routes=" ".join(names), request=asked.told())
+            log.warning("route.tied", routes=" ".join(names), request=asked.describe())
 
     def take(self, choice: Choice, pending: PendingRequest) -> bool:
         """A request has come; False if its id is still in use, in whatever pool."""
--- a/wickgw/net/subset_driver.py
+++ b/wickgw/net/subset_driver.py
@@ -13,9 +13,9 @@
     AttemptEnded,
     FleetListed,
     SetTimer,
-    ShowWorkers,
     SubsetEvent,
     TimerFired,
+    UpdateSubset,
 )
 from wickgw.subsetting.subset import WorkerSubset
 
@@ -59,7 +59,7 @@
     def _feed(self, event: SubsetEvent[Target]) -> None:
         for action in self.subset.handle(event, self.clock.now()):
             match action:
-                case ShowWorkers(workers, gone):
+                case UpdateSubset(workers, gone):
                     left = [Target(i.Entry(worker, i.Health.GONE), endpoint="") for worker in gone]
                     self.show(i.ListKind.UPDATE, [*left, *workers])
                 case SetTimer(after):
--- a/wickgw/node.py
+++ b/wickgw/node.py
@@ -16,8 +16,8 @@
 from typing import TYPE_CHECKING
 
 from wickgw import interface as i
-from wickgw.config.ini import DEFAULT, read_ini
-from wickgw.config.relay import Config, ConfigError, Opened, Sources, read_config
+from wickgw.config.ini import DEFAULT_INI_PATH, read_ini
+from wickgw.config.relay import Config, ConfigError, ConfigSources, ListeningSockets, read_config
 from wickgw.net.clients import Clients
 from wickgw.net.discovery import Discovery
 from wickgw.net.dispatch import Clock, Dispatcher
@@ -32,7 +32,7 @@
 
 if TYPE_CHECKING:
     from wickgw.address.driver import Driver
-    from wickgw.config.schema import Operator
+    from wickgw.config.schema import OperatorConfig
     from wickgw.routing.table import Table
 
 log = logger("wickgw")
@@ -47,7 +47,7 @@
     """One dispatcher: its parts, put together on a loop."""
 
     def __init__(
-        self, config: Config, loop: asyncio.AbstractEventLoop, operator: "Operator | None" = None
+        self, config: Config, loop: asyncio.AbstractEventLoop, operator: "OperatorConfig | None" = None
     ) -> None:
         self.config, self.loop, self.operator, clock = config, loop, operator, Clock()
         self.sockets = Sockets(loop, config.descriptors, config.memory_mb)
@@ -117,13 +117,13 @@
         self.pools.begin(known)
         self.clients.ready = bool(known)
 
-    def start(self, opened: Opened) -> tuple[str, int]:
+    def start(self, opened: ListeningSockets) -> tuple[str, int]:
         """Accept, and ask for the list; returns the address listened at. The sockets are the node's from here
         on."""
         if opened.mgmt is not None:
             self.mgmt = Mgmt(self.loop, self.sockets, opened.mgmt, self.carry)
-        shared = self.config.passed is not None
-        where = self.clients.listen(opened.clients, shared, opened.since)
+        shared = self.config.passed_descriptor is not None
+        where = self.clients.listen(opened.clients, shared, opened.listening_since)
         self.discovery.open()
         if self.address is not None:
             self.address.start()
@@ -172,7 +172,7 @@
         self.pools.counters["reloads"] += 1
         log.info("reload.done", discovery=new.discovery)
 
-    def reload(self, sources: Sources) -> None:
+    def reload(self, sources: ConfigSources) -> None:
         """SIGHUP: read the configuration again. One that can't be used changes nothing."""
         try:
             new = read_config(sources.environ)
@@ -184,7 +184,7 @@
             return
         self.switch(new)
 
-    def _switch_operator(self, new: "Operator | None", verbose: bool) -> None:
+    def _switch_operator(self, new: "OperatorConfig | None", verbose: bool) -> None:
         """Take what can be taken of the operator's file, and say what can't. Raises ConfigError."""
         old, address = self.operator, new.address if new else None
         if self.address is not None and address is not None and address.enabled:
@@ -277,30 +277,30 @@
         self.sockets.close()
 
 
-def routing_on(operator: "Operator | None") -> bool:
+def routing_on(operator: "OperatorConfig | None") -> bool:
     """Whether the operator's file turns routes on."""
     return operator is not None and operator.routing is not None and operator.routing.enabled
 
 
-def routes_of(operator: "Operator | None") -> "tuple[Table | None, str]":
+def routes_of(operator: "OperatorConfig | None") -> "tuple[Table | None, str]":
     """The table of the operator's file, and the header that tells a client's zone. Raises ConfigError."""
     if operator is None or operator.routing is None or not operator.routing.enabled:
         return None, ""
-    from wickgw.config.routes import table_of
+    from wickgw.config.routes import build_table
 
-    return table_of(operator.routing), operator.routing.zone_header
+    return build_table(operator.routing), operator.routing.zone_header
 
 
-def check_routes(operator: "Operator | None") -> None:
+def check_routes(operator: "OperatorConfig | None") -> None:
     """Before serving: routes that tie are refused. Raises ConfigError."""
     if routing_on(operator):
-        from wickgw.config.routes import refuse_ties
+        from wickgw.config.routes import reject_tied_routes
 
         assert operator is not None and operator.routing is not None
-        refuse_ties(operator.routing)
+        reject_tied_routes(operator.routing)
 
 
-def configure_log(operator: "Operator | None", verbose: bool) -> None:
+def configure_log(operator: "OperatorConfig | None", verbose: bool) -> None:
     """The log as the operator's file wants it."""
     if operator is None:
         set_up_log(verbose)
@@ -309,7 +309,11 @@
 
 
 async def run(
-    config: Config, operator: "Operator | None", sources: Sources, opened: Opened, early: list[int]
+    config: Config,
+    operator: "OperatorConfig | None",
+    sources: ConfigSources,
+    opened: ListeningSockets,
+    early: list[int],
 ) -> None:
     """Serve until told to end, on sockets that listen already. `early` holds the signals that came before,
     and those that come until the loop has its own handlers. Raises ConfigError."""
@@ -318,7 +322,7 @@
     try:
         node = Node(config, loop, operator)
     except ConfigError as error:  # what is wrong with the operator's file only in this process
-        raise ConfigError(f"{sources.ini or DEFAULT}: {error}") from error
+        raise ConfigError(f"{sources.ini or DEFAULT_INI_PATH}: {error}") from error
     handlers = {signal.SIGTERM: node.drain, signal.SIGINT: node.drain}
     handlers |= {signal.SIGHUP: functools.partial(node.reload, sources)}
     handlers |= {signal.SIGUSR1: functools.partial(_print_report, node)}
--- a/wickgw/routing/__init__.py
+++ b/wickgw/routing/__init__.py
@@ -1,7 +1,8 @@
-"""Routes, pools, and what may be known about them without traffic. No I/O at all.
+"""Routes and pools, and checks of them that need no traffic. No I/O.
 
-`normal` spells requests in one way, `match` says what a route looks at, `table` is the one object that serves
-traffic and answers the checker; `automata` and `space` cut all requests into cells that no route or
-expectation tells apart, `fleet` does so with the states of workers; `check`, `lint` and `difference` ask the
-table about every cell. The reasons are in docs/design/routing.md.
+`normal` gives requests one spelling. `match` holds the predicates on requests. `table` selects the route
+and the pool; the same table serves traffic and answers the checks. `automata` and `space` partition
+all requests into equivalence classes that no route and no expectation distinguishes. `fleet` does the same
+for the states of workers. `check` and `lint` evaluate the table for every equivalence class. The reasons for
+this design are in docs/design/routing.md.
 """
--- a/wickgw/routing/check.py
+++ b/wickgw/routing/check.py
@@ -1,9 +1,9 @@
-"""Expectations, decided for all requests and fleets that they speak of.
+"""Checks expectations for all requests and fleets that they cover.
 
-Owns the verdicts: `holds`, `broken` (with the smallest request and fleet that break it), `empty` (nothing is
-meant), `unknown` (past a bound, or a pattern that no automaton stands for). The table itself is asked about
-every cell; the decision module itself is asked whom it picks. It must never say `holds` for what it has not
-looked at whole.
+The verdicts are `holds`, `broken` (with the smallest request and fleet that break the expectation), `empty`
+(the expectation covers no request or no fleet) and `unknown` (a bound is exceeded, or a pattern has no finite
+automaton). The table itself is evaluated for every equivalence class of requests. The decision module itself
+selects the workers. The verdict is `holds` only if all requests and fleets were evaluated.
 """
 
 from collections import defaultdict
@@ -13,18 +13,18 @@
 
 from wickgw import interface as i
 from wickgw.balance import Balancer
-from wickgw.routing.automata import NotRegular, TooLarge
-from wickgw.routing.fleet import Condition, Fleet, Given, Outcome, fleets, outcome
-from wickgw.routing.match import Match, Path, Request
-from wickgw.routing.space import Cell, cells
+from wickgw.routing.automata import BoundExceededError, NotRegularError
+from wickgw.routing.fleet import Fleet, FleetCondition, FleetSet, Outcome, distinct_fleets, outcome
+from wickgw.routing.match import PathMatcher, Request, RequestMatcher
+from wickgw.routing.space import EquivalenceClass, equivalence_classes
 from wickgw.routing.table import Pool, Route, Table, Worker
 
-SEEDS = 6  # of the decision module, for each pool and fleet that it is asked about
-PICKS = 8  # by each
+SEEDS = 6  # decision modules created for each combination of worker states, each with another seed
+REQUESTS_PER_SEED = 8  # requests that each decision module assigns
 
 
 class Verdict(Enum):
-    """What became of an expectation."""
+    """The result of checking an expectation."""
 
     HOLDS = "holds"
     BROKEN = "broken"
@@ -33,224 +33,260 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
-    """What a request should come to: one of these."""
+class ExpectedResult:
+    """The result that an expectation names: one of `values`, where the kind has values."""
 
-    kind: str  # pool, zone, workers, refused, not-found, attempts
+    kind: str  # pool, zone, workers, refused, not-found or attempts
     values: tuple[str, ...] = ()
 
-    def has(self, worker: Worker) -> bool:
-        """Whether a worker is one that may be picked."""
+    def includes(self, worker: Worker) -> bool:
+        """Return whether `worker` is one of the expected workers."""
         if self.kind == "zone":
             return worker.zone in self.values
-        return self.kind != "workers" or Pool("", names=self.values).has(worker)
+        return self.kind != "workers" or Pool("", names=self.values).includes(worker)
 
-    def told(self) -> str:
-        """As an operator writes it."""
+    def describe(self) -> str:
+        """Return the result as it is written in an operator's file."""
         return " ".join((self.kind, *self.values))
 
 
 @dataclass(frozen=True, slots=True)
 class Expectation:
-    """What an operator expects, of a set of requests in a set of fleets."""
+    """The result that an operator expects for a set of requests in a set of fleets."""
 
     name: str
-    given: Match
-    fleet: Given
-    wanted: Wanted
-    never: bool = False
-    unless: tuple[Condition, ...] = ()  # any of them excuses
-    why: str = ""
-    line: int = 0
+    matcher: RequestMatcher
+    fleet_set: FleetSet
+    expected: ExpectedResult
+    never: bool = False  # the result must not occur
+    unless: tuple[FleetCondition, ...] = ()  # fleets that fulfil any of these are excluded
+    why: str = ""  # the operator's explanation, printed if the expectation is broken
+    line: int = 0  # of the section in the operator's file
 
 
 @dataclass(frozen=True, slots=True)
-class Judgement:
-    """An expectation and what became of it."""
+class CheckResult:
+    """The verdict on an expectation."""
 
     expectation: Expectation
     verdict: Verdict
-    witness: str = ""
-    cells: int = 0
+    witness: str = ""  # the request and fleet that break the expectation, or the reason for the verdict
+    equivalence_classes: int = 0  # the number of equivalence classes that the expectation covers
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """All that a file says."""
+class CheckPlan:
+    """The routes, expectations and lists of names in an operator's file, as the checks need them."""
 
     table: Table
     zones: tuple[str, ...] = ()
     workers: tuple[Worker, ...] = ()
-    classes: tuple[str, ...] = ()
+    classes: tuple[str, ...] = ()  # job classes
     expectations: tuple[Expectation, ...] = ()
-    attempts: int = 6  # as many as the platform allows
+    attempts: int = 6  # the maximum of the platform
 
 
 @dataclass(slots=True)
-class Survey:
-    """Every cell of a plan, asked of its table once: checking and linting read the same."""
+class Analysis:
+    """The table's result for every equivalence class of requests, shared by checks and lint."""
 
-    cells: list[tuple[Cell, Route | None, tuple[Route, ...]]] = field(default_factory=list)
-    matched: list[list[Route]] = field(default_factory=list)
-    trouble: str = ""  # why it is not whole
+    # Each equivalence class with its route and the tied routes.
+    equivalence_classes: list[tuple[EquivalenceClass, Route | None, tuple[Route, ...]]] = field(
+        default_factory=list
+    )
+    matching_routes: list[list[Route]] = field(default_factory=list)  # for each equivalence class
+    incomplete: str = ""  # why the analysis is incomplete; empty if it is complete
 
 
-def survey(plan: Plan) -> Survey:
-    """Cut all requests into cells, and ask the table about each."""
-    matches = [e.given for e in plan.expectations]
-    found = Survey()
-    offset = len(matches)
-    extra = [Match(classes=_class_paths((name,))) for name in plan.classes]
+def analyze(plan: CheckPlan) -> Analysis:
+    """Partition all requests into equivalence classes, and look up the route of each."""
+    matchers = [expectation.matcher for expectation in plan.expectations]
+    analysis = Analysis()
+    first_route = len(matchers)
+    class_matchers = [RequestMatcher(classes=_class_paths((name,))) for name in plan.classes]
     try:
-        for cell in cells([*matches, *(r.match for r in plan.table.routes), *extra], plan.zones):
-            taken = plan.table.take(cell.witness)
-            found.cells.append((cell, taken.route, taken.tied))
-            found.matched.append([r for k, r in enumerate(plan.table.routes) if offset + k in cell.meant])
-    except (TooLarge, NotRegular) as error:
-        found.trouble = str(error)
-    return found
-
-
-def _class_paths(names: Sequence[str]) -> tuple[Path, ...]:
-    return tuple(Path("prefix", f"/{name}") for name in names)
-
-
-def check(plan: Plan, found: Survey) -> list[Judgement]:
-    """A verdict on each expectation, in the file's order."""
-    meant: dict[int, list[int]] = defaultdict(list)
-    for at, (cell, _, _) in enumerate(found.cells):
-        for k in cell.meant:
-            if k < len(plan.expectations):
-                meant[k].append(at)
-    return [_judge(plan, found, k, e, meant[k]) for k, e in enumerate(plan.expectations)]
+        for equivalence_class in equivalence_classes(
+            [*matchers, *(route.matcher for route in plan.table.routes), *class_matchers], plan.zones
+        ):
+            result = plan.table.lookup(equivalence_class.witness)
+            analysis.equivalence_classes.append((equivalence_class, result.route, result.tied))
+            analysis.matching_routes.append(
+                [
+                    route
+                    for index, route in enumerate(plan.table.routes)
+                    if first_route + index in equivalence_class.matching
+                ]
+            )
+    except (BoundExceededError, NotRegularError) as error:
+        analysis.incomplete = str(error)
+    return analysis
+
+
+def _class_paths(names: Sequence[str]) -> tuple[PathMatcher, ...]:
+    return tuple(PathMatcher("prefix", f"/{name}") for name in names)
+
+
+def check(plan: CheckPlan, analysis: Analysis) -> list[CheckResult]:
+    """Return the verdict on each expectation, in the order of the file."""
+    covered: dict[int, list[int]] = defaultdict(list)
+    for position, (equivalence_class, _, _) in enumerate(analysis.equivalence_classes):
+        for index in equivalence_class.matching:
+            if index < len(plan.expectations):
+                covered[index].append(position)
+    return [
+        _check_expectation(plan, analysis, index, expectation, covered[index])
+        for index, expectation in enumerate(plan.expectations)
+    ]
 
 
-def _judge(plan: Plan, found: Survey, index: int, expectation: Expectation, meant: list[int]) -> Judgement:
-    # Cells of one route are alike to an expectation, but for the witness: the smallest stands for all.
+def _check_expectation(
+    plan: CheckPlan, analysis: Analysis, index: int, expectation: Expectation, covered: list[int]
+) -> CheckResult:
+    # An expectation distinguishes the equivalence classes of one route only by their witnesses, so the class
+    # with the smallest witness represents them all.
     by_route: dict[str, tuple[Request, Route | None, tuple[Route, ...]]] = {}
-    for at in meant:
-        cell, route, tied = found.cells[at]
+    for position in covered:
+        equivalence_class, route, tied = analysis.equivalence_classes[position]
         key = (route.name if route else "") + (" tied" if tied else "")
-        old = by_route.get(key)
-        if old is None or _size(cell.witness) < _size(old[0]):
-            by_route[key] = cell.witness, route, tied
-    unknown = found.trouble
+        smallest = by_route.get(key)
+        if smallest is None or _size(equivalence_class.witness) < _size(smallest[0]):
+            by_route[key] = equivalence_class.witness, route, tied
+    unknown = analysis.incomplete
     broken: list[tuple[int, str]] = []
     any_fleet = False
     for request, route, tied in by_route.values():
         if tied:
-            names = " and ".join(r.name for r in tied)
-            broken.append((_size(request), f"{request.told()}: routes {names} tie"))
+            names = " and ".join(tied_route.name for tied_route in tied)
+            broken.append((_size(request), f"{request.describe()}: routes {names} tie"))
             continue
         try:
-            seen, told = _judge_route(plan, expectation, request, route)
-            any_fleet = any_fleet or seen
-            if told:
-                broken.append((_size(request), told))
-        except TooLarge as error:
+            covers_fleet, violation = _check_route(plan, expectation, request, route)
+            any_fleet = any_fleet or covers_fleet
+            if violation:
+                broken.append((_size(request), violation))
+        except BoundExceededError as error:
             unknown = str(error)
     if broken:
-        return Judgement(expectation, Verdict.BROKEN, min(broken)[1], len(meant))
+        return CheckResult(expectation, Verdict.BROKEN, min(broken)[1], len(covered))
     if unknown:
-        return Judgement(expectation, Verdict.UNKNOWN, unknown, len(meant))
+        return CheckResult(expectation, Verdict.UNKNOWN, unknown, len(covered))
     if not any_fleet:
-        what = "no request is meant" if not meant else "no fleet is meant"
-        return Judgement(expectation, Verdict.EMPTY, what, len(meant))
-    return Judgement(expectation, Verdict.HOLDS, "", len(meant))
+        reason = "no request is meant" if not covered else "no fleet is meant"
+        return CheckResult(expectation, Verdict.EMPTY, reason, len(covered))
+    return CheckResult(expectation, Verdict.HOLDS, "", len(covered))
 
 
 def _size(request: Request) -> int:
+    """Return the size by which the smallest witness is selected."""
     return len(request.host) + len(request.path) + 8 * len(request.headers)
 
 
-def _judge_route(
-    plan: Plan, expectation: Expectation, request: Request, route: Route | None
+def _check_route(
+    plan: CheckPlan, expectation: Expectation, request: Request, route: Route | None
 ) -> tuple[bool, str]:
-    """Whether any fleet was meant, and what breaks the expectation; empty if nothing does."""
-    wanted = expectation.wanted
-    if route is None or wanted.kind in ("not-found", "attempts"):
-        # No fleet changes these.
-        most = plan.attempts if route is None else _attempts(plan, route)
-        if wanted.kind == "attempts":
-            reached = route is not None and most <= int(wanted.values[0])
+    """Return whether the expectation covers any fleet, and the violation; empty if there is none."""
+    expected = expectation.expected
+    if route is None or expected.kind in ("not-found", "attempts"):
+        # These results don't depend on the fleet.
+        max_attempts = plan.attempts if route is None else _max_attempts(plan, route)
+        if expected.kind == "attempts":
+            fulfilled = route is not None and max_attempts <= int(expected.values[0])
         else:
-            reached = wanted.kind == "not-found" and route is None
-        if reached is not expectation.never:
+            fulfilled = expected.kind == "not-found" and route is None
+        if fulfilled is not expectation.never:
             return True, ""
-        what = f"takes route {route.name} (at most {most} attempts)" if route else "is taken by no route"
-        return True, f"{request.told()} {what}"
-    apart = [condition.selector.has for condition in expectation.unless]
-    if wanted.kind in ("zone", "workers"):
-        apart.append(wanted.has)
-    seen = False
-    for fleet in fleets(plan.table, route, expectation.fleet, plan.workers, apart):
+        actual = (
+            f"takes route {route.name} (at most {max_attempts} attempts)" if route else "is taken by no route"
+        )
+        return True, f"{request.describe()} {actual}"
+    selections = [condition.selector.includes for condition in expectation.unless]
+    if expected.kind in ("zone", "workers"):
+        selections.append(expected.includes)
+    covers_fleet = False
+    for fleet in distinct_fleets(plan.table, route, expectation.fleet_set, plan.workers, selections):
         if any(condition.holds(fleet) for condition in expectation.unless):
             continue
-        seen = True
-        goes = outcome(plan.table, route, fleet)
-        wrong = _wrong(expectation, goes) or _picked_wrong(expectation, plan.table, goes, fleet)
-        if wrong:
-            return True, f"{request.told()} with {fleet.told()}: route {route.name}, {wrong}"
-    return seen, ""
+        covers_fleet = True
+        route_outcome = outcome(plan.table, route, fleet)
+        violation = _outcome_violation(expectation, route_outcome) or _selection_violation(
+            expectation, plan.table, route_outcome, fleet
+        )
+        if violation:
+            return True, f"{request.describe()} with {fleet.describe()}: route {route.name}, {violation}"
+    return covers_fleet, ""
+
+
+def _max_attempts(plan: CheckPlan, route: Route) -> int:
+    """Return the maximum number of attempts for a request that takes `route`."""
+    return plan.attempts if route.attempts is None else min(route.attempts, plan.attempts)
 
 
-def _attempts(plan: Plan, route: Route) -> int:
-    return plan.attempts if route.attempts is None else min(route.attempts, plan.attempts)
+def _outcome_violation(expectation: Expectation, route_outcome: Outcome) -> str:
+    """Return how an outcome violates the expectation; empty if it does not."""
+    expected, actual = (
+        expectation.expected,
+        "refused (every pool is out)" if route_outcome.refused else f"pool {route_outcome.pool}",
+    )
+    if expected.kind == "refused":
+        return actual if route_outcome.refused is expectation.never else ""
+    if expected.kind == "pool":
+        fulfilled = not route_outcome.refused and route_outcome.pool in expected.values
+        return actual if fulfilled is expectation.never else ""
+    # Zone or workers: only expected workers may be selected (with `never`: no expected worker).
+    if route_outcome.refused:
+        return "" if expectation.never else actual
+    unexpected = sorted(
+        worker.name for worker in route_outcome.workers if expected.includes(worker) is expectation.never
+    )
+    return f"{actual}, worker {unexpected[0]}" if unexpected else ""
+
 
+def _selection_violation(expectation: Expectation, table: Table, route_outcome: Outcome, fleet: Fleet) -> str:
+    """Return how the decision module's own selection violates the expectation; empty if it does not.
 
-def _wrong(expectation: Expectation, goes: Outcome) -> str:
-    """Why an outcome is not as wanted; empty if it is."""
-    wanted, told = expectation.wanted, "refused (every pool is out)" if goes.refused else f"pool {goes.pool}"
-    if wanted.kind == "refused":
-        return told if goes.refused is expectation.never else ""
-    if wanted.kind == "pool":
-        reached = not goes.refused and goes.pool in wanted.values
-        return told if reached is expectation.never else ""
-    # Workers: none outside may be picked (never: none inside).
-    if goes.refused:
-        return "" if expectation.never else told
-    bad = sorted(w.name for w in goes.workers if wanted.has(w) is expectation.never)
-    return f"{told}, worker {bad[0]}" if bad else ""
-
-
-def _picked_wrong(expectation: Expectation, table: Table, goes: Outcome, fleet: Fleet) -> str:
-    """Whom the decision module itself picks in that pool, over seeds: nobody outside what is wanted."""
-    if goes.refused or expectation.wanted.kind not in ("zone", "workers"):
+    The decision module of the pool selects workers with several seeds.
+    """
+    if route_outcome.refused or expectation.expected.kind not in ("zone", "workers"):
         return ""
-    places = fleet.roster.own(table.pools[goes.pool])
-    workers = {fleet.roster.workers[k].name: fleet.roster.workers[k] for k in places}
+    indexes = fleet.roster.indexes_of(table.pools[route_outcome.pool])
+    workers = {fleet.roster.workers[index].name: fleet.roster.workers[index] for index in indexes}
     states = tuple(
-        (fleet.roster.workers[k].name, fleet.roster.workers[k].zone, fleet.states[k].value) for k in places
+        (fleet.roster.workers[index].name, fleet.roster.workers[index].zone, fleet.states[index].value)
+        for index in indexes
     )
-    for name in picks(states):
-        if expectation.wanted.has(workers[name]) is expectation.never:
-            return f"pool {goes.pool}, the decision module picks {name}"
+    for name in selected_workers(states):
+        if expectation.expected.includes(workers[name]) is expectation.never:
+            return f"pool {route_outcome.pool}, the decision module picks {name}"
     return ""
 
 
-_PICKED: dict[tuple[tuple[str, str, str], ...], frozenset[str]] = {}
+# The results of `selected_workers`, cached by its argument.
+_SELECTED: dict[tuple[tuple[str, str, str], ...], frozenset[str]] = {}
+
 
+def selected_workers(states: tuple[tuple[str, str, str], ...]) -> frozenset[str]:
+    """Return the workers that the decision module selects with several seeds.
 
-def picks(states: tuple[tuple[str, str, str], ...]) -> frozenset[str]:
-    """The workers that the decision module picks of these (name, zone, state), over some seeds."""
-    if states in _PICKED:
-        return _PICKED[states]
+    Each worker is a tuple of name, zone and state.
+    """
+    if states in _SELECTED:
+        return _SELECTED[states]
     zones = sorted({zone for _, zone, _ in states})
     listed = [
         i.Entry(name, i.Health(state), zones.index(zone)) for name, zone, state in states if state != "gone"
     ]
-    picked: set[str] = set()
+    selected: set[str] = set()
     for seed in range(SEEDS):
         settings = i.Settings(classes=(i.RequestClass("any", aim=0.1, deadline=1.0),), zones=tuple(zones))
         balancer = Balancer(settings, seed)
         balancer.handle(i.Began(), 0.0)
         balancer.handle(i.WorkerList(i.ListKind.REPLACE, tuple(listed)), 0.0)
         balancer.handle(i.WorkerList(i.ListKind.UPDATE, tuple(listed)), 0.0)
-        for n in range(PICKS):
-            for action in balancer.handle(i.Arrival(f"{n}", 0, 1.0), 0.01 * n):
+        for number in range(REQUESTS_PER_SEED):
+            for action in balancer.handle(i.Arrival(f"{number}", 0, 1.0), 0.01 * number):
                 if isinstance(action, i.Send):
-                    picked.add(action.worker)
-    if len(_PICKED) > 10_000:
-        _PICKED.clear()
-    _PICKED[states] = frozenset(picked)
-    return _PICKED[states]
+                    selected.add(action.worker)
+    if len(_SELECTED) > 10_000:
+        _SELECTED.clear()
+    _SELECTED[states] = frozenset(selected)
+    return _SELECTED[states]
--- a/wickgw/routing/fleet.py
+++ b/wickgw/routing/fleet.py
@@ -1,8 +1,9 @@
-"""States of the fleet, as far as the pools of one route can tell them apart, each with its smallest witness.
+"""Enumerates the fleet states that the pools of one route distinguish, each by a smallest example.
 
-Owns the case split: workers that are alike (in the same pools, and meant alike by what is asked) are counted,
-not named, and each pool's own `is_out` says what a count leads to. A split larger than its bound is
-`TooLarge`, never a sample. It must never know what an expectation asks for beyond sets of workers.
+Workers are equivalent if they are in the same pools and the check selects all or none of them. Equivalent
+workers are counted by state instead of being enumerated one by one, and each pool's `is_out` evaluates the
+counts. If there are more than `MAX_FLEETS` combinations, the enumeration raises `BoundExceededError`; there
+is no sampling. This module knows the expectations only as sets of workers.
 """
 
 import itertools
@@ -11,167 +12,186 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-from wickgw.routing.automata import TooLarge
-from wickgw.routing.table import Pool, Route, State, Table, Worker
+from wickgw.routing.automata import BoundExceededError
+from wickgw.routing.table import Pool, Route, Table, Worker, WorkerState
 
-MOST_STATES = 50_000
-READY, DRAINING, GONE = State.READY, State.DRAINING, State.GONE
+MAX_FLEETS = 50_000
+READY, DRAINING, GONE = WorkerState.READY, WorkerState.DRAINING, WorkerState.GONE
 
 
 @dataclass(frozen=True, slots=True)
 class Selector:
-    """Some workers: a whole zone, or names with * and ?."""
+    """Selects workers by zone, or by a name pattern with * and ?."""
 
-    kind: str  # zone, workers
+    kind: str  # zone or workers
     value: str
 
-    def has(self, worker: Worker) -> bool:
-        """Whether it means this one."""
-        return worker.zone == self.value if self.kind == "zone" else Pool("", names=(self.value,)).has(worker)
+    def includes(self, worker: Worker) -> bool:
+        """Return whether `worker` is selected."""
+        return (
+            worker.zone == self.value
+            if self.kind == "zone"
+            else Pool("", names=(self.value,)).includes(worker)
+        )
 
-    def told(self) -> str:
-        """As an operator writes it."""
+    def describe(self) -> str:
+        """Return the selector as it is written in an operator's file."""
         return f"zone:{self.value}" if self.kind == "zone" else self.value
 
 
 class Roster:
-    """Some workers, and where each pool's and each selector's own stand among them."""
+    """A list of workers, with cached indexes of the workers in each pool and selector."""
 
     def __init__(self, workers: Iterable[Worker]) -> None:
         self.workers = tuple(workers)
-        self._own: dict[Pool | Selector, tuple[int, ...]] = {}
+        self._indexes: dict[Pool | Selector, tuple[int, ...]] = {}
 
-    def own(self, choice: Pool | Selector) -> tuple[int, ...]:
-        """The places of a pool's workers, or of those that a selector means."""
-        places = self._own.get(choice)
-        if places is None:
-            places = tuple(k for k, worker in enumerate(self.workers) if choice.has(worker))
-            self._own[choice] = places
-        return places
+    def indexes_of(self, selection: Pool | Selector) -> tuple[int, ...]:
+        """Return the indexes of the workers in a pool or selector."""
+        indexes = self._indexes.get(selection)
+        if indexes is None:
+            indexes = tuple(index for index, worker in enumerate(self.workers) if selection.includes(worker))
+            self._indexes[selection] = indexes
+        return indexes
 
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """A roster with a state for each worker."""
+    """A roster with the state of each worker."""
 
     roster: Roster
-    states: tuple[State, ...]
+    states: tuple[WorkerState, ...]
 
-    def of(self, choice: Pool | Selector) -> list[State]:
-        """The states of a pool's workers, or of those that a selector means."""
-        return [self.states[k] for k in self.roster.own(choice)]
+    def states_of(self, selection: Pool | Selector) -> list[WorkerState]:
+        """Return the states of the workers in a pool or selector."""
+        return [self.states[index] for index in self.roster.indexes_of(selection)]
 
-    def told(self) -> str:
-        """Who is not ready."""
+    def describe(self) -> str:
+        """Return a text that names the workers that are not ready."""
         parts = []
         for state in (DRAINING, GONE):
             pairs = zip(self.roster.workers, self.states, strict=True)
-            names = sorted(worker.name for worker, s in pairs if s is state)
+            names = sorted(worker.name for worker, worker_state in pairs if worker_state is state)
             if names:
                 parts.append(f"{', '.join(names)} {state.value}")
         return "; ".join(parts) or "all ready"
 
 
 @dataclass(frozen=True, slots=True)
-class Condition:
-    """Of a fleet: every worker meant is in one of these states (and there is one)."""
+class FleetCondition:
+    """A condition on a fleet: all selected workers, and at least one, are in one of the given states."""
 
-    states: frozenset[State]
+    states: frozenset[WorkerState]
     selector: Selector
 
     def holds(self, fleet: Fleet) -> bool:
-        """Whether it does."""
-        meant = fleet.of(self.selector)
-        return bool(meant) and all(state in self.states for state in meant)
+        """Return whether `fleet` fulfils the condition."""
+        selected = fleet.states_of(self.selector)
+        return bool(selected) and all(state in self.states for state in selected)
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
-    """A set of fleets: every one (`any`), or the one with all ready but those named."""
+class FleetSet:
+    """A set of fleets: either all fleets, or the one in which only the named workers are not ready."""
 
-    any: bool = True
-    but: tuple[tuple[State, Selector], ...] = ()
+    any: bool = True  # all fleets
+    exceptions: tuple[tuple[WorkerState, Selector], ...] = ()  # workers that are not ready
 
-    def fixed(self, workers: Sequence[Worker]) -> Fleet:
-        """The one fleet, where it is one."""
+    def fixed_fleet(self, workers: Sequence[Worker]) -> Fleet:
+        """Return the fleet in which only `exceptions` are not ready."""
         roster = Roster(workers)
         states = [READY] * len(roster.workers)
-        for state, selector in self.but:
-            for k in roster.own(selector):
-                states[k] = state
+        for state, selector in self.exceptions:
+            for index in roster.indexes_of(selector):
+                states[index] = state
         return Fleet(roster, tuple(states))
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """Where a route's request goes in a fleet."""
+    """The destination of a route's requests in one fleet."""
 
     pool: str
-    refused: bool  # every pool of the route is out
-    workers: tuple[Worker, ...]  # any of which the decision module may pick
+    refused: bool  # all pools of the route are out
+    workers: tuple[Worker, ...]  # the ready workers of the pool; the decision module selects one of them
 
 
 def outcome(table: Table, route: Route, fleet: Fleet) -> Outcome:
-    """Ask the table, as serving does."""
+    """Return the outcome of `route` for `fleet`, decided by the table as for traffic."""
     counts = {}
     for name in route.pools:
-        mine = fleet.of(table.pools[name])
-        counts[name] = mine.count(READY), mine.count(DRAINING)
+        states = fleet.states_of(table.pools[name])
+        counts[name] = states.count(READY), states.count(DRAINING)
     pool, refused = table.pool_for(route, counts)
     if refused:
         return Outcome(pool, True, ())
-    places = fleet.roster.own(table.pools[pool])
-    return Outcome(pool, False, tuple(fleet.roster.workers[k] for k in places if fleet.states[k] is READY))
+    indexes = fleet.roster.indexes_of(table.pools[pool])
+    return Outcome(
+        pool, False, tuple(fleet.roster.workers[index] for index in indexes if fleet.states[index] is READY)
+    )
 
 
-def fleets(
+def distinct_fleets(
     table: Table,
     route: Route,
-    given: Given,
+    fleet_set: FleetSet,
     workers: Sequence[Worker],
-    apart: Sequence[Callable[[Worker], bool]],
+    selections: Sequence[Callable[[Worker], bool]],
 ) -> Iterator[Fleet]:
-    """Every fleet of a set that the route's pools, or `apart`, can tell from the others, fewest troubles
-    first. Raises TooLarge."""
-    if not given.any:
-        yield given.fixed(workers)
+    """Yield the fleets of `fleet_set` that the route's pools or `selections` distinguish.
+
+    Fleets with more ready workers come first. Raises BoundExceededError.
+    """
+    if not fleet_set.any:
+        yield fleet_set.fixed_fleet(workers)
         return
     pools = [table.pools[name] for name in route.pools]
     groups: dict[tuple[bool, ...], list[Worker]] = {}
     for worker in workers:
-        key = (*(pool.has(worker) for pool in pools), *(test(worker) for test in apart))
+        key = (*(pool.includes(worker) for pool in pools), *(selects(worker) for selects in selections))
         groups.setdefault(key, []).append(worker)
-    # Who is in none of these pools, and meant by nothing asked, makes no difference.
-    groups.pop((False,) * (len(pools) + len(apart)), None)
-    highest = max((p.fewer_than for p in pools if p.out == "fewer-than"), default=1)
+    # Workers in none of these pools and selections make no difference.
+    groups.pop((False,) * (len(pools) + len(selections)), None)
+    max_threshold = max(
+        (candidate.fewer_than for candidate in pools if candidate.out == "fewer-than"), default=1
+    )
     roster = Roster(worker for group in groups.values() for worker in group)
     sizes = tuple(len(group) for group in groups.values())
-    for picked in _splits(sizes, highest, route.name):
-        states: list[State] = []
-        for size, (ready, draining) in zip(sizes, picked, strict=True):
+    for counts in _state_counts(sizes, max_threshold, route.name):
+        states: list[WorkerState] = []
+        for size, (ready, draining) in zip(sizes, counts, strict=True):
             states += [READY] * ready + [DRAINING] * draining + [GONE] * (size - ready - draining)
         yield Fleet(roster, tuple(states))
 
 
 @lru_cache(maxsize=1024)
-def _splits(sizes: tuple[int, ...], highest: int, what: str) -> list[tuple[tuple[int, int], ...]]:
-    """For groups of these sizes, how many of each are ready and draining, fewest troubles first."""
-    choices = [_counts(size, highest) for size in sizes]
-    count = math.prod(len(choice) for choice in choices)
-    if count > MOST_STATES:
-        raise TooLarge(f"{count} states of the fleet for route {what}")
-
-    def troubles(picked: tuple[tuple[int, int], ...]) -> tuple[int, int]:
-        return -sum(ready for ready, _ in picked), -sum(draining for _, draining in picked)
-
-    return sorted(itertools.product(*choices), key=troubles)
-
-
-def _counts(size: int, highest: int) -> list[tuple[int, int]]:
-    """How many of a group are ready and draining, as far as a pool can tell: all, or up to as many as a pool
-    asks for; in each case the others draining, gone, or (for pools that ask whether any drains) mixed."""
-    found = []
-    for ready in {size, *range(min(size, highest) + 1)}:
-        rest = size - ready
-        found += [(ready, draining) for draining in sorted({0, min(1, rest), rest}, reverse=True)]
-    return found
+def _state_counts(
+    sizes: tuple[int, ...], max_threshold: int, route_name: str
+) -> list[tuple[tuple[int, int], ...]]:
+    """Return the distinct counts of ready and draining workers for groups of the given sizes.
+
+    Combinations with more ready workers, then with more draining workers, come first.
+    """
+    choices = [_group_counts(size, max_threshold) for size in sizes]
+    count = math.prod(len(group_counts) for group_counts in choices)
+    if count > MAX_FLEETS:
+        raise BoundExceededError(f"{count} states of the fleet for route {route_name}")
+
+    def unavailability(combination: tuple[tuple[int, int], ...]) -> tuple[int, int]:
+        return -sum(ready for ready, _ in combination), -sum(draining for _, draining in combination)
+
+    return sorted(itertools.product(*choices), key=unavailability)
+
+
+def _group_counts(size: int, max_threshold: int) -> list[tuple[int, int]]:
+    """Return the counts of ready and draining workers in a group that a pool can distinguish.
+
+    Either all workers are ready, or up to `max_threshold` of them, the largest number that a pool requires.
+    The others are all draining, all gone, or one draining and the rest gone, for pools that depend on whether
+    any worker drains.
+    """
+    counts = []
+    for ready in {size, *range(min(size, max_threshold) + 1)}:
+        unready = size - ready
+        counts += [(ready, draining) for draining in sorted({0, min(1, unready), unready}, reverse=True)]
+    return counts
--- a/wickgw/routing/match.py
+++ b/wickgw/routing/match.py
@@ -1,8 +1,8 @@
-"""What a route or an expectation looks at in a request: host, path, method, zone, headers.
+"""Predicates on requests: host, path, method, zone and headers.
 
-Owns the predicates. Each is plain data with one `holds`, which serving, checking and explaining all call; the
-class of a job is the first part of its path, so a set of classes is a set of path prefixes. It must never
-look at anything of a request but `Request`'s fields, in their normal form.
+Each predicate is plain data with one `matches` method, which serving, checking and explaining all call. The
+class of a job is the first part of its path, so a set of classes is a set of path prefixes. Predicates read
+only the fields of `Request`, in their normal form.
 """
 
 import re
@@ -15,7 +15,10 @@
 
 @dataclass(frozen=True)
 class Request:
-    """A request as routing sees it: host and path in normal form, header names in small letters."""
+    """The parts of a request that routing reads.
+
+    Host and path are in normal form, header names in lower case.
+    """
 
     host: str
     path: str
@@ -25,36 +28,39 @@
 
     @property
     def job_class(self) -> str:
-        """The first part of the path."""
+        """The class of the job: the first part of the path."""
         return self.path[1:].partition("/")[0]
 
-    def told(self) -> str:
-        """One line to read."""
-        fields = "".join(f" {k}={v!r}" for k, v in sorted(self.headers.items()))
+    def describe(self) -> str:
+        """Return the request as one line of text."""
+        fields = "".join(f" {name}={value!r}" for name, value in sorted(self.headers.items()))
         return f"{self.method} {self.host or '(no host)'}{self.path} from zone {self.zone or '?'}{fields}"
 
 
 @dataclass(frozen=True)
-class Host:
-    """An exact host, or with `*.` any host below it."""
+class HostMatcher:
+    """Matches one exact host, or, with a leading `*.`, every host below that domain."""
 
     text: str
 
     @property
     def wildcard(self) -> bool:
-        """Whether it begins with `*.`."""
+        """Whether the text begins with `*.`."""
         return self.text.startswith("*.")
 
-    def holds(self, host: str) -> bool:
-        """Whether a host in normal form is meant."""
+    def matches(self, host: str) -> bool:
+        """Return whether a host in normal form matches."""
         if not self.wildcard:
             return host == self.text
         return host.endswith(self.text[1:]) and len(host) > len(self.text) - 1
 
 
 @dataclass(frozen=True)
-class Path:
-    """One way of naming paths: exact, prefix (whole segments), pattern (a regular expression for it all)."""
+class PathMatcher:
+    """Matches paths by an exact path, a prefix of whole segments, or a regular expression.
+
+    A regular expression must match the whole path.
+    """
 
     kind: str  # exact, prefix, pattern
     text: str
@@ -65,14 +71,14 @@
 
     @cached_property
     def literal(self) -> str:
-        """What every path meant begins with: whole segments, for the index."""
+        """The literal prefix of all matching paths, in whole segments. The index of the table uses it."""
         if self.kind != "pattern":
             return self.text
-        plain = re.match(r"(?:/[0-9A-Za-z_~-]+)*(?=/(?![*?{]))", self.text)
-        return plain[0] if plain and "|" not in self.text else ""
+        prefix = re.match(r"(?:/[0-9A-Za-z_~-]+)*(?=/(?![*?{]))", self.text)
+        return prefix[0] if prefix and "|" not in self.text else ""
 
-    def holds(self, path: str) -> bool:
-        """Whether a path in normal form is meant."""
+    def matches(self, path: str) -> bool:
+        """Return whether a path in normal form matches."""
         if self.kind == "exact":
             return path == self.text
         if self.kind == "prefix":
@@ -81,22 +87,29 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """How specific it is: exact, then a pattern by its plain beginning, then the longest prefix."""
+        """The specificity; the higher value wins.
+
+        An exact path ranks above a pattern, and a pattern above a prefix. Patterns are compared by the length
+        of their literal prefix, prefixes by their own length.
+        """
         if self.kind == "pattern":
             return 2, len(self.literal)
         return (3 if self.kind == "exact" else 1), len(self.text)
 
 
 @dataclass(frozen=True)
-class Header:
-    """A named header: present, absent, one of some values, or none of them (absent counts as none)."""
+class HeaderMatcher:
+    """Matches a header that is present, absent, one of `values`, or none of `values`.
+
+    An absent header matches `none-of`.
+    """
 
     name: str
     kind: str  # present, absent, one-of, none-of
     values: frozenset[str] = frozenset()
 
-    def holds(self, headers: Mapping[str, str]) -> bool:
-        """Whether the headers are as wanted."""
+    def matches(self, headers: Mapping[str, str]) -> bool:
+        """Return whether the headers of a request match."""
         value = headers.get(self.name)
         if self.kind == "present":
             return value is not None
@@ -106,57 +119,69 @@
 
 
 @dataclass(frozen=True)
-class Match:
-    """All that must hold together; within a field one of several does. An empty field is open."""
+class RequestMatcher:
+    """Matches requests for which all fields match.
+
+    A field with several values matches if one of them does. An empty field matches everything.
+    """
 
-    hosts: tuple[Host, ...] = ()
-    paths: tuple[Path, ...] = ()
-    classes: tuple[Path, ...] = ()  # prefixes
+    hosts: tuple[HostMatcher, ...] = ()
+    paths: tuple[PathMatcher, ...] = ()
+    classes: tuple[PathMatcher, ...] = ()  # job classes, as path prefixes
     methods: frozenset[str] = frozenset()
     zones: frozenset[str] = frozenset()
-    headers: tuple[Header, ...] = ()
+    headers: tuple[HeaderMatcher, ...] = ()
 
-    def holds(self, request: Request) -> bool:
-        """Whether a request is meant."""
+    def matches(self, request: Request) -> bool:
+        """Return whether `request` matches."""
         return (
-            (not self.hosts or any(h.holds(request.host) for h in self.hosts))
-            and self.holds_path(request.path)
-            and self.holds_rest(request)
+            (not self.hosts or any(matcher.matches(request.host) for matcher in self.hosts))
+            and self.matches_path(request.path)
+            and self.matches_rest(request)
         )
 
-    def holds_path(self, path: str) -> bool:
-        """The part that looks at the path."""
-        return (not self.paths or any(p.holds(path) for p in self.paths)) and (
-            not self.classes or any(p.holds(path) for p in self.classes)
+    def matches_path(self, path: str) -> bool:
+        """Return whether `path` matches the paths and job classes."""
+        return (not self.paths or any(matcher.matches(path) for matcher in self.paths)) and (
+            not self.classes or any(matcher.matches(path) for matcher in self.classes)
         )
 
-    def holds_rest(self, request: Request) -> bool:
-        """The part that looks at neither host nor path."""
+    def matches_rest(self, request: Request) -> bool:
+        """Return whether method, zone and headers of `request` match."""
         return (
             (not self.methods or request.method in self.methods)
             and (not self.zones or request.zone in self.zones)
-            and all(h.holds(request.headers) for h in self.headers)
+            and all(matcher.matches(request.headers) for matcher in self.headers)
         )
 
     def rank(self, host: str, path: str) -> tuple[int, int, int, int, int]:
-        """How specific it is for a request that it means: host first, then path, then how much else it
-        looks at. Bigger wins."""
-        hosts = [(2, 0) if not h.wildcard else (1, len(h.text)) for h in self.hosts if h.holds(host)]
-        paths = [p.rank for p in self.paths if p.holds(path)]
-        rest = sum(map(bool, (self.classes, self.methods, self.zones))) + len(self.headers)
-        return (*max(hosts, default=(0, 0)), *max(paths, default=(0, 0)), rest)
-
-
-def host_of(text: str) -> Host:
-    """A host as an operator writes it. Raises ValueError."""
-    plain = normal.host(text.removeprefix("*."))
-    if not plain:
+        """Return the specificity for a matching request; the higher value wins.
+
+        The host is compared first, then the path, then the number of other constraints.
+        """
+        hosts = [
+            (2, 0) if not matcher.wildcard else (1, len(matcher.text))
+            for matcher in self.hosts
+            if matcher.matches(host)
+        ]
+        paths = [path_matcher.rank for path_matcher in self.paths if path_matcher.matches(path)]
+        constraints = sum(map(bool, (self.classes, self.methods, self.zones))) + len(self.headers)
+        return (*max(hosts, default=(0, 0)), *max(paths, default=(0, 0)), constraints)
+
+
+def parse_host(text: str) -> HostMatcher:
+    """Parse a host from an operator's file, with an optional `*.`. Raises ValueError if it is malformed."""
+    host = normal.host(text.removeprefix("*."))
+    if not host:
         raise ValueError(f"not a host: {text!r}")
-    return Host(("*." if text.startswith("*.") else "") + plain)
+    return HostMatcher(("*." if text.startswith("*.") else "") + host)
+
 
+def parse_path(kind: str, text: str) -> PathMatcher:
+    """Parse a path from an operator's file; `kind` is exact, prefix or pattern.
 
-def path_of(kind: str, text: str) -> Path:
-    """A path as an operator writes it. Raises ValueError."""
+    Raises ValueError if the path or the regular expression is malformed.
+    """
     if kind == "pattern":
         if not text.startswith("/"):
             raise ValueError(f"a pattern begins with a slash: {text!r}")
@@ -164,6 +189,6 @@
             re.compile(text)
         except re.error as error:
             raise ValueError(f"not a pattern: {text!r}: {error}") from error
-        return Path(kind, text)
-    plain = normal.path(text)
-    return Path(kind, plain.rstrip("/") or "/" if kind == "prefix" else plain)
+        return PathMatcher(kind, text)
+    path = normal.path(text)
+    return PathMatcher(kind, path.rstrip("/") or "/" if kind == "prefix" else path)
--- a/wickgw/routing/normal.py
+++ b/wickgw/routing/normal.py
@@ -1,68 +1,75 @@
-"""One spelling for hosts and paths, so that no route is dodged by spelling (RFC 3986, section 6.2.2).
+"""The normal form of hosts and paths, so that a different spelling can't bypass a route (RFC 3986, 6.2.2).
 
-Paths: percent-codes of unreserved characters are decoded, others written in capitals, what may not stand in
-a path is coded as UTF-8, dot segments are removed, and slashes in a row count as one. A coded slash (%2F)
-is not a slash. Hosts: small letters, no port, no dot at the end. Owns nothing. What came is passed on
-unchanged; only routing looks at the normal form.
+In a path, percent-encoded unreserved characters are decoded, and other percent-encodings are written in upper
+case. Characters that a path can't contain are percent-encoded as UTF-8. Dot segments are removed, and
+consecutive slashes become one. An encoded slash (%2F) is not a slash. A host is written in lower case,
+without port and trailing dot. Requests are forwarded unchanged; only routing uses the normal form.
 """
 
 import re
 
 UNRESERVED = frozenset("ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
-PLAIN = UNRESERVED | frozenset("!$&'()*+,;=:@")  # what a segment may hold uncoded
-HEX = "0123456789ABCDEF"
-CODED = re.compile(r"%([0-9A-Fa-f]{2})")
-ODD = re.compile(r"[^A-Za-z0-9\-._~!$&'()*+,;=:@/]|//|/\.")  # may not be normal yet
-HOST = re.compile(r"[0-9a-z_-]+(\.[0-9a-z_-]+)*")
+SEGMENT_CHARACTERS = UNRESERVED | frozenset("!$&'()*+,;=:@")  # characters of a segment that need no encoding
+HEX_DIGITS = "0123456789ABCDEF"
+PERCENT_ENCODED = re.compile(r"%([0-9A-Fa-f]{2})")
+MAYBE_NOT_NORMAL = re.compile(r"[^A-Za-z0-9\-._~!$&'()*+,;=:@/]|//|/\.")  # a path without a match is normal
+HOST_NAME = re.compile(r"[0-9a-z_-]+(\.[0-9a-z_-]+)*")
 
 
-class Malformed(ValueError):
-    """It has no normal form."""
+class MalformedError(ValueError):
+    """The host or path is malformed and has no normal form."""
 
 
 def path(raw: str) -> str:
-    """The normal form of a path (without its query). Raises Malformed: a stray percent sign."""
-    if raw.startswith("/") and not ODD.search(raw):
+    """Return the normal form of a path without its query.
+
+    Raises MalformedError if the path does not begin with a slash, or if a percent sign is not followed by two
+    hexadecimal digits.
+    """
+    if raw.startswith("/") and not MAYBE_NOT_NORMAL.search(raw):
         return raw
     if not raw.startswith("/"):
-        raise Malformed(f"a path begins with a slash: {raw[:80]!r}")
+        raise MalformedError(f"a path begins with a slash: {raw[:80]!r}")
     segments: list[str] = []
-    parts = [_segment(part) for part in raw.split("/")[1:]]
+    parts = [_normalize_segment(part) for part in raw.split("/")[1:]]
     for part in parts:
         if part == "..":
             if segments:
                 segments.pop()
         elif part not in ("", "."):
             segments.append(part)
-    slash = "/" if parts[-1] in ("", ".", "..") and segments else ""
-    return "/" + "/".join(segments) + slash
+    trailing_slash = "/" if parts[-1] in ("", ".", "..") and segments else ""
+    return "/" + "/".join(segments) + trailing_slash
 
 
-def _segment(part: str) -> str:
-    out, at = [], 0
-    while at < len(part):
-        if part[at] == "%":
-            match = CODED.match(part, at)
+def _normalize_segment(part: str) -> str:
+    normal, index = [], 0
+    while index < len(part):
+        if part[index] == "%":
+            match = PERCENT_ENCODED.match(part, index)
             if match is None:
-                raise Malformed(f"a percent sign without two hexadecimal digits: {part[:80]!r}")
-            plain = chr(int(match[1], 16))
-            out.append(plain if plain in UNRESERVED else match[0].upper())
-            at += 3
-        elif part[at] in PLAIN:
-            out.append(part[at])
-            at += 1
+                raise MalformedError(f"a percent sign without two hexadecimal digits: {part[:80]!r}")
+            character = chr(int(match[1], 16))
+            normal.append(character if character in UNRESERVED else match[0].upper())
+            index += 3
+        elif part[index] in SEGMENT_CHARACTERS:
+            normal.append(part[index])
+            index += 1
         else:
-            out += [f"%{byte:02X}" for byte in part[at].encode("utf-8", "surrogatepass")]
-            at += 1
-    return "".join(out)
+            normal += [f"%{byte:02X}" for byte in part[index].encode("utf-8", "surrogatepass")]
+            index += 1
+    return "".join(normal)
 
 
 def host(raw: str) -> str:
-    """The normal form of a Host field; empty if there is none. Raises Malformed."""
+    """Return the normal form of a Host header field; empty if the field is empty.
+
+    Raises MalformedError if the host or the port is malformed.
+    """
     name, colon, port = raw.strip().lower().partition(":")
     if colon and port and not (port.isascii() and port.isdigit()):
-        raise Malformed(f"not a host: {raw[:80]!r}")
+        raise MalformedError(f"not a host: {raw[:80]!r}")
     name = name.removesuffix(".")
-    if name and not HOST.fullmatch(name):
-        raise Malformed(f"not a host: {raw[:80]!r}")
+    if name and not HOST_NAME.fullmatch(name):
+        raise MalformedError(f"not a host: {raw[:80]!r}")
     return name
--- a/wickgw/routing/space.py
+++ b/wickgw/routing/space.py
@@ -1,97 +1,135 @@
-"""All requests, cut into cells within which no route and no expectation tells two requests apart.
+"""Partitions all requests into equivalence classes that no route and no expectation distinguishes.
 
-A cell has a witness, and what is true of the witness is true of the whole cell: predicates are constant
-on it, and a table looks at nothing else. Cells are cut host by host, then path by path among what
-the host leaves, then by what the remaining ones look at: the number of cells follows the routes, not the
-product of all that they name. Owns the bound on that number. It must never sample.
+Each equivalence class has a witness, which is one request of the class. What is true of the witness is true
+of the whole class, because every predicate is constant on it and a table reads nothing else. The partition is
+built host by host, then path by path among the matchers of the host, then by the method, zone and headers of
+the remaining matchers. The number of classes thus grows with the routes, not with the product of all values
+that they name. The number is bounded by `MAX_CLASSES`. All classes are enumerated; there is no sampling.
 """
 
 import itertools
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass
 
-from wickgw.routing.automata import TooLarge, classes
-from wickgw.routing.match import Host, Match, Path, Request
+from wickgw.routing.automata import BoundExceededError, path_equivalence_classes
+from wickgw.routing.match import HostMatcher, PathMatcher, Request, RequestMatcher
 
-MOST_CELLS = 2_000_000
-OTHER = "other"  # a value that nobody names
+MAX_CLASSES = 2_000_000
+OTHER = "other"  # stands for all values that no matcher names
 
 
 @dataclass(frozen=True, slots=True)
-class Cell:
-    """One cell: its witness, and which of the given matches mean it (by their index)."""
+class EquivalenceClass:
+    """Requests that no matcher distinguishes."""
 
     witness: Request
-    meant: frozenset[int]
+    matching: frozenset[int]  # the indexes of the matchers that match every request of the class
 
 
-def host_witnesses(hosts: Iterable[Host]) -> list[str]:
-    """A host for each way in which hosts can be met: each exact one, one below each wildcard and no deeper
-    one, and one that none means."""
+def host_witnesses(hosts: Iterable[HostMatcher]) -> list[str]:
+    """Return one host for each way in which the matchers can match.
+
+    These are every exact host, one host below each wildcard but below no deeper wildcard, and one host that
+    no matcher matches.
+    """
     hosts = set(hosts)
-    exact = sorted(h.text for h in hosts if not h.wildcard)
+    exact = sorted(matcher.text for matcher in hosts if not matcher.wildcard)
     found = list(exact)
-    for wild in sorted(h.text[1:] for h in hosts if h.wildcard):
-        deeper = [h for h in hosts if h.wildcard and len(h.text) > len(wild) + 1]
-        for label in itertools.chain(("any",), (f"any{n}" for n in itertools.count())):
-            name = label + wild
-            if name not in exact and not any(h.holds(name) for h in deeper):
+    for domain in sorted(matcher.text[1:] for matcher in hosts if matcher.wildcard):
+        deeper = [matcher for matcher in hosts if matcher.wildcard and len(matcher.text) > len(domain) + 1]
+        for label in itertools.chain(("any",), (f"any{number}" for number in itertools.count())):
+            name = label + domain
+            if name not in exact and not any(matcher.matches(name) for matcher in deeper):
                 found.append(name)
                 break
-    for label in itertools.chain(("elsewhere",), (f"elsewhere{n}" for n in itertools.count())):
-        if not any(h.holds(label) for h in hosts):
+    for label in itertools.chain(("elsewhere",), (f"elsewhere{number}" for number in itertools.count())):
+        if not any(matcher.matches(label) for matcher in hosts):
             return [*found, label]
     raise AssertionError
 
 
-def cells(matches: Sequence[Match], zones: Sequence[str]) -> Iterator[Cell]:
-    """Every cell of all requests from these zones. Raises TooLarge, automata.NotRegular."""
-    known: dict[frozenset[Path], list[tuple[frozenset[Path], str]]] = {}
+def equivalence_classes(
+    matchers: Sequence[RequestMatcher], zones: Sequence[str]
+) -> Iterator[EquivalenceClass]:
+    """Yield every equivalence class of the requests from `zones`.
+
+    Raises BoundExceededError and automata.NotRegularError.
+    """
+    known: dict[frozenset[PathMatcher], list[tuple[frozenset[PathMatcher], str]]] = {}
     count = 0
-    for host in host_witnesses(h for m in matches for h in m.hosts):
-        here = [k for k, m in enumerate(matches) if not m.hosts or any(h.holds(host) for h in m.hosts)]
-        paths = frozenset(p for k in here for p in (*matches[k].paths, *matches[k].classes))
+    for host in host_witnesses(host_matcher for matcher in matchers for host_matcher in matcher.hosts):
+        for_host = [
+            index
+            for index, matcher in enumerate(matchers)
+            if not matcher.hosts or any(host_matcher.matches(host) for host_matcher in matcher.hosts)
+        ]
+        paths = frozenset(
+            path_matcher
+            for index in for_host
+            for path_matcher in (*matchers[index].paths, *matchers[index].classes)
+        )
         if paths not in known:
-            known[paths] = classes(sorted(paths, key=lambda p: (p.kind, p.text)))
-        for met, path in known[paths]:
-            there = [k for k in here if _meets(matches[k], met)]
-            for method, zone, headers in _rest([matches[k] for k in there], zones):
+            known[paths] = path_equivalence_classes(
+                sorted(paths, key=lambda path_matcher: (path_matcher.kind, path_matcher.text))
+            )
+        for matching_paths, path in known[paths]:
+            for_path = [index for index in for_host if _matches_path(matchers[index], matching_paths)]
+            for method, zone, headers in _remaining_combinations(
+                [matchers[index] for index in for_path], zones
+            ):
                 count += 1
-                if count > MOST_CELLS:
-                    raise TooLarge(f"more than {MOST_CELLS} kinds of requests")
+                if count > MAX_CLASSES:
+                    raise BoundExceededError(f"more than {MAX_CLASSES} kinds of requests")
                 request = Request(host, path, method, zone, headers)
-                yield Cell(request, frozenset(k for k in there if matches[k].holds_rest(request)))
+                yield EquivalenceClass(
+                    request, frozenset(index for index in for_path if matchers[index].matches_rest(request))
+                )
 
 
-def _meets(match: Match, met: frozenset[Path]) -> bool:
-    return (not match.paths or any(p in met for p in match.paths)) and (
-        not match.classes or any(p in met for p in match.classes)
+def _matches_path(matcher: RequestMatcher, matching_paths: frozenset[PathMatcher]) -> bool:
+    """Return whether `matcher` matches a path that exactly `matching_paths` match."""
+    return (not matcher.paths or any(path_matcher in matching_paths for path_matcher in matcher.paths)) and (
+        not matcher.classes or any(path_matcher in matching_paths for path_matcher in matcher.classes)
     )
 
 
-def _rest(matches: Sequence[Match], zones: Sequence[str]) -> Iterator[tuple[str, str, dict[str, str]]]:
-    """Methods, zones and headers that these matches tell apart."""
-    methods = {m for match in matches for m in match.methods}
-    told = [_other(methods)] if methods else ["POST"]
-    named = {z for match in matches for z in match.zones}
-    rest = [z for z in zones if z not in named]
-    # Zones that nobody names are alike; a zone that does not exist sends no requests.
-    from_zones = [z for z in zones if z in named] + rest[:1] if zones else [""]
+def _remaining_combinations(
+    matchers: Sequence[RequestMatcher], zones: Sequence[str]
+) -> Iterator[tuple[str, str, dict[str, str]]]:
+    """Yield every combination of method, zone and headers that the matchers distinguish."""
+    methods = {named_method for matcher in matchers for named_method in matcher.methods}
+    other_methods = [_other(methods)] if methods else ["POST"]
+    named_zones = {candidate for matcher in matchers for candidate in matcher.zones}
+    unnamed_zones = [candidate for candidate in zones if candidate not in named_zones]
+    # Zones that no matcher names are equivalent. A zone that does not exist sends no requests.
+    zone_witnesses = (
+        [candidate for candidate in zones if candidate in named_zones] + unnamed_zones[:1] if zones else [""]
+    )
     values: dict[str, set[str]] = {}
-    for match in matches:
-        for header in match.headers:
+    for matcher in matchers:
+        for header in matcher.headers:
             values.setdefault(header.name, set()).update(header.values)
     names = sorted(values)
     choices = [[None, *sorted(values[name]), _other(values[name])] for name in names]
-    for method in [*sorted(methods), *told] if methods else told:
-        for zone in from_zones:
-            for picked in itertools.product(*choices):
-                yield method, zone, {n: v for n, v in zip(names, picked, strict=True) if v is not None}
+    for method in [*sorted(methods), *other_methods] if methods else other_methods:
+        for zone in zone_witnesses:
+            for combination in itertools.product(*choices):
+                yield (
+                    method,
+                    zone,
+                    {
+                        header_name: value
+                        for header_name, value in zip(names, combination, strict=True)
+                        if value is not None
+                    },
+                )
 
 
 def _other(values: Iterable[str]) -> str:
-    """A value that none of these is."""
+    """Return a value that is not in `values`."""
     values = set(values)
     return next(
-        v for v in itertools.chain((OTHER,), (f"{OTHER}{n}" for n in itertools.count())) if v not in values
+        candidate
+        for candidate in itertools.chain((OTHER,), (f"{OTHER}{number}" for number in itertools.count()))
+        if candidate not in values
     )
--- a/wickgw/routing/table.py
+++ b/wickgw/routing/table.py
@@ -1,8 +1,9 @@
-"""The table: which route takes a request, and which of its pools is to serve it.
+"""The routing table: selects the route for a request and the pool of that route.
 
-Owns the order of routes and the index that makes a look-up cost what its candidates cost, not what the table
-does. One object serves traffic and answers the checker. It must never choose a worker, a retry or a refusal
-(the decision module of the pool does), nor loosen a rule: a route can only lower attempts and time.
+The table orders the routes by priority and specificity. Its index makes the cost of a look-up depend on the
+number of candidate routes, not on the size of the table. The same table serves traffic and answers the
+checks. The table does not choose a worker, retry or refuse; that is the task of the pool's decision module.
+A route can lower the limits on attempts and time, but can't raise them.
 """
 
 import fnmatch
@@ -11,11 +12,11 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from wickgw.routing.match import Match, Request
+from wickgw.routing.match import Request, RequestMatcher
 
 
-class State(Enum):
-    """A worker, as the list of workers has it."""
+class WorkerState(Enum):
+    """The state of a worker in the list of workers."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Worker:
-    """What a pool chooses by."""
+    """The attributes of a worker by which pools select it."""
 
     name: str
     zone: str = ""
@@ -34,27 +35,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """A choice of workers, and when it counts as out. An empty field is open."""
+    """A selection of workers, and the condition under which the pool is out.
+
+    A worker is selected if all fields match. An empty field matches every worker.
+    """
 
     name: str
     zones: frozenset[str] = frozenset()
     models: frozenset[str] = frozenset()
     groups: frozenset[int] = frozenset()
-    names: tuple[str, ...] = ()  # names, with * and ? as in a shell
-    out: str = "none-ready"  # none-ready, all-draining, fewer-than
-    fewer_than: int = 1
+    names: tuple[str, ...] = ()  # shell patterns with * and ?
+    out: str = "none-ready"  # when the pool is out: none-ready, all-draining or fewer-than
+    fewer_than: int = 1  # with fewer-than: the number of ready workers needed
 
-    def has(self, worker: Worker) -> bool:
-        """Whether a worker is one of this pool's."""
+    def includes(self, worker: Worker) -> bool:
+        """Return whether `worker` belongs to this pool."""
         return (
             (not self.zones or worker.zone in self.zones)
             and (not self.models or worker.model in self.models)
             and (not self.groups or worker.group in self.groups)
-            and (not self.names or any(fnmatch.fnmatchcase(worker.name, n) for n in self.names))
+            and (not self.names or any(fnmatch.fnmatchcase(worker.name, pattern) for pattern in self.names))
         )
 
     def is_out(self, ready: int, draining: int) -> bool:
-        """Whether a request should go to the route's next pool, by its workers in each state."""
+        """Return whether requests go to the route's next pool, given the counts of workers in each state."""
         if self.out == "all-draining":
             return ready == 0 and draining > 0
         return ready < (self.fewer_than if self.out == "fewer-than" else 1)
@@ -62,103 +66,110 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What it takes, and where that goes."""
+    """A route: which requests it matches, and the pools that serve them, in order of preference."""
 
     name: str
-    match: Match
+    matcher: RequestMatcher
     pools: tuple[str, ...]
     priority: int = 0
-    attempts: int | None = None  # at most; None: as many as the platform allows
-    time_limit: float | None = None  # seconds at most
-    line: int = 0  # in the operator's file
+    attempts: int | None = None  # maximum; None: the maximum of the platform
+    time_limit_s: float | None = None  # maximum; None: the limit of the job class
+    line: int = 0  # of the section in the operator's file
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
-    """What became of a look-up."""
+class LookupResult:
+    """The result of a look-up."""
 
-    route: Route | None
-    tied: tuple[Route, ...] = ()  # more than one: none is the most specific
+    route: Route | None  # None if no route matches
+    tied: tuple[Route, ...] = ()  # all routes of the highest rank, if there are several
 
 
 @dataclass(slots=True)
-class _Paths:
-    """Routes of one host, by what their paths begin with."""
+class _PathIndex:
+    """The routes of one host, indexed by the literal prefixes of their paths."""
 
     exact: dict[str, list[Route]] = field(default_factory=lambda: defaultdict(list))
-    below: dict[str, list[Route]] = field(default_factory=lambda: defaultdict(list))
+    prefixes: dict[str, list[Route]] = field(default_factory=lambda: defaultdict(list))
 
     def add(self, route: Route) -> None:
-        """Enter a route under each beginning it may have."""
-        looks = route.match.paths or route.match.classes
-        keys = {(p.kind == "exact", p.literal.rstrip("/")) for p in looks} or {(False, "")}
+        """Index a route under each literal prefix of its paths."""
+        matchers = route.matcher.paths or route.matcher.classes
+        keys = {(matcher.kind == "exact", matcher.literal.rstrip("/")) for matcher in matchers} or {
+            (False, "")
+        }
         for exact, key in keys:
-            (self.exact if exact else self.below)[key].append(route)
+            (self.exact if exact else self.prefixes)[key].append(route)
 
     def candidates(self, path: str) -> Iterable[Route]:
-        """Routes that could mean a path."""
-        bare = path.rstrip("/")
-        yield from self.exact.get(bare, ())
-        end = len(bare)
+        """Yield the routes that may match `path`. A route may occur more than once."""
+        stripped = path.rstrip("/")
+        yield from self.exact.get(stripped, ())
+        end = len(stripped)
         while True:
-            yield from self.below.get(bare[:end], ())
+            yield from self.prefixes.get(stripped[:end], ())
             if end <= 0:
                 return
-            end = bare.rfind("/", 0, end)
+            end = stripped.rfind("/", 0, end)
 
 
 class Table:
-    """Routes and pools, as one operator's file has them. Never changed: a reload makes another."""
+    """The routes and pools of one operator's file. Immutable; a reload builds a new table."""
 
     def __init__(self, routes: Sequence[Route], pools: Sequence[Pool]) -> None:
         self.routes, self.pools = tuple(routes), {pool.name: pool for pool in pools}
-        self._exact: dict[str, _Paths] = {}
-        self._below: dict[str, _Paths] = {}  # by what follows the star, with its dot
-        self._any = _Paths()
+        self._exact_hosts: dict[str, _PathIndex] = {}
+        self._wildcard_hosts: dict[str, _PathIndex] = {}  # by the domain after the star, with its leading dot
+        self._any_host = _PathIndex()
         for route in self.routes:
-            if not route.match.hosts:
-                self._any.add(route)
-            for host in route.match.hosts:
-                side, key = (self._below, host.text[1:]) if host.wildcard else (self._exact, host.text)
-                side.setdefault(key, _Paths()).add(route)
-
-    def _of_host(self, host: str) -> Iterable[_Paths]:
-        if host in self._exact:
-            yield self._exact[host]
-        at = host.find(".")
-        while at >= 0:
-            if host[at:] in self._below:
-                yield self._below[host[at:]]
-            at = host.find(".", at + 1)
-        yield self._any
+            if not route.matcher.hosts:
+                self._any_host.add(route)
+            for host in route.matcher.hosts:
+                index, key = (
+                    (self._wildcard_hosts, host.text[1:]) if host.wildcard else (self._exact_hosts, host.text)
+                )
+                index.setdefault(key, _PathIndex()).add(route)
+
+    def _indexes_for_host(self, host: str) -> Iterable[_PathIndex]:
+        if host in self._exact_hosts:
+            yield self._exact_hosts[host]
+        dot = host.find(".")
+        while dot >= 0:
+            if host[dot:] in self._wildcard_hosts:
+                yield self._wildcard_hosts[host[dot:]]
+            dot = host.find(".", dot + 1)
+        yield self._any_host
 
     def matching(self, request: Request) -> list[Route]:
-        """All routes that mean a request, in the file's order."""
+        """Return all routes that match `request`, in the order of the file."""
         found = {
             id(route): route
-            for paths in self._of_host(request.host)
-            for route in paths.candidates(request.path)
-            if route.match.holds(request)
+            for index in self._indexes_for_host(request.host)
+            for route in index.candidates(request.path)
+            if route.matcher.matches(request)
         }
         return sorted(found.values(), key=lambda route: (route.line, route.name))
 
-    def take(self, request: Request) -> Taken:
-        """The route of the highest priority, and of those the most specific."""
+    def lookup(self, request: Request) -> LookupResult:
+        """Return the most specific of the matching routes with the highest priority."""
         best: list[Route] = []
-        least: tuple[int, ...] = ()
+        best_rank: tuple[int, ...] = ()
         for route in self.matching(request):
-            rank = (route.priority, *route.match.rank(request.host, request.path))
-            if rank > least or not best:
-                best, least = [route], rank
-            elif rank == least:
+            rank = (route.priority, *route.matcher.rank(request.host, request.path))
+            if rank > best_rank or not best:
+                best, best_rank = [route], rank
+            elif rank == best_rank:
                 best.append(route)
         if not best:
-            return Taken(None)
-        return Taken(best[0], tuple(best) if len(best) > 1 else ())
+            return LookupResult(None)
+        return LookupResult(best[0], tuple(best) if len(best) > 1 else ())
 
     def pool_for(self, route: Route, counts: Mapping[str, tuple[int, int]]) -> tuple[str, bool]:
-        """The first pool of a route that is not out, by each pool's ready and draining workers; and whether
-        all are out: then the first is named, whose decision module holds or refuses."""
+        """Return the name of the first pool of `route` that is not out, and whether all pools are out.
+
+        `counts` has the numbers of ready and draining workers of each pool. If all pools are out, the first
+        pool is returned; its decision module holds or refuses the request.
+        """
         for name in route.pools:
             if not self.pools[name].is_out(*counts.get(name, (0, 0))):
                 return name, False
--- a/wickgw/start.py
+++ b/wickgw/start.py
@@ -16,10 +16,17 @@
 from typing import TYPE_CHECKING
 
 from wickgw.config.ini import read_ini
-from wickgw.config.relay import Config, ConfigError, Opened, Sources, open_sockets, read_config
+from wickgw.config.relay import (
+    Config,
+    ConfigError,
+    ConfigSources,
+    ListeningSockets,
+    open_sockets,
+    read_config,
+)
 
 if TYPE_CHECKING:
-    from wickgw.config.schema import Operator
+    from wickgw.config.schema import OperatorConfig
 
 TURN = 0.001  # seconds that the loop waits between the parts of a start
 EARLY = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
@@ -56,7 +63,7 @@
 
             check_routes(operator)
         opened = open_sockets(config)
-        asyncio.run(_serve(config, operator, Sources(os.environ, ini, verbose), opened, early))
+        asyncio.run(_serve(config, operator, ConfigSources(os.environ, ini, verbose), opened, early))
     except ConfigError as error:
         print(f"wickgw: {error}", file=sys.stderr)
         return 2
@@ -64,7 +71,11 @@
 
 
 async def _serve(
-    config: Config, operator: "Operator | None", sources: Sources, opened: Opened, early: list[int]
+    config: Config,
+    operator: "OperatorConfig | None",
+    sources: ConfigSources,
+    opened: ListeningSockets,
+    early: list[int],
 ) -> None:
     # Others that start beside this one get their turn before each large part: hundreds on a few cores would
     # each go without one for the whole of all their starts.
--- a/wickgw/subsetting/__init__.py
+++ b/wickgw/subsetting/__init__.py
@@ -1,6 +1,6 @@
-"""Deterministic subsetting: which workers of a large fleet one dispatcher sees at all.
+"""Deterministic subsetting: selects the part of a large fleet of workers that one dispatcher uses.
 
-A core between the list of workers and the decision module. Nothing here does I/O, reads a clock or draws a
-random number. `sizing` derives the size of a subset from the settings, `ranking` assigns workers to
-dispatchers by rendezvous hashing, `subset` applies both to the list and its changes.
+The package sits between the list of workers and the decision module. It does no I/O, reads no clock and draws
+no random numbers. `sizing` derives the size of a subset from the settings. `ranking` assigns workers to
+dispatchers by rendezvous hashing. `subset` applies both to the list of workers and its changes.
 """
--- a/wickgw/subsetting/events.py
+++ b/wickgw/subsetting/events.py
@@ -1,4 +1,4 @@
-"""What goes into the core of subsetting and what comes out: plain frozen data. Times are seconds."""
+"""Events that a `WorkerSubset` consumes and actions that it returns, as frozen data. Times are in seconds."""
 
 from dataclasses import dataclass
 from typing import Generic, Protocol, TypeVar
@@ -7,15 +7,18 @@
 
 
 class FleetWorker(Protocol):
-    """One worker of the whole list, as the core needs it; two that are equal need not be shown anew."""
+    """One worker of the whole list.
+
+    Equality decides whether a worker has changed: a worker that equals its last version is not sent again.
+    """
 
     @property
     def entry(self) -> i.Entry:
-        """What the decision module gets to know of it."""
+        """The worker's list entry, as the decision module receives it."""
 
     @property
     def zone(self) -> str:
-        """Its zone by name; empty where discovery names none."""
+        """The name of the worker's zone; empty if discovery names none."""
 
 
 WorkerT = TypeVar("WorkerT", bound=FleetWorker)
@@ -31,7 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetListed(Generic[WorkerT]):
-    """News of the whole list of workers."""
+    """A new list of all workers, or an update to it.
+
+    `kind` says whether `workers` replaces the list or updates it.
+    """
 
     kind: i.ListKind
     workers: tuple[WorkerT, ...] = ()
@@ -47,23 +53,23 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The time of the last `SetTimer` has come."""
+    """The timer set by the last `SetTimer` has expired."""
 
 
 @dataclass(frozen=True, slots=True)
-class ShowWorkers(Generic[WorkerT]):
-    """Changes to what the decision module, its connections and its learning get to see."""
+class UpdateSubset(Generic[WorkerT]):
+    """Changes to the workers that the decision module, its connections and its learning use."""
 
-    workers: tuple[WorkerT, ...] = ()  # new ones, and those of which there is news
-    gone: tuple[str, ...] = ()  # by name
+    workers: tuple[WorkerT, ...] = ()  # added and changed workers
+    removed: tuple[str, ...] = ()  # names of workers that left the subset
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Bring `TimerFired` after so many seconds; it replaces the timer set before."""
+    """Deliver `TimerFired` after `delay_s` seconds. Replaces the timer set before."""
 
-    after: float
+    delay_s: float
 
 
 SubsetEvent = FleetListed[WorkerT] | AttemptEnded | TimerFired
-SubsetAction = ShowWorkers[WorkerT] | SetTimer
+SubsetAction = UpdateSubset[WorkerT] | SetTimer
--- a/wickgw/subsetting/sizing.py
+++ b/wickgw/subsetting/sizing.py
@@ -1,60 +1,66 @@
-"""The size of a subset: how many dispatchers see each worker, from the settings alone."""
+"""The size of a subset: how many dispatchers use each worker. Derived from the settings alone."""
 
 import math
 from dataclasses import dataclass, replace
 
 from wickgw import interface as i
 
-# With fewer dispatchers at each worker, a few busy or bad dispatchers decide how loaded it is: the spread of
-# attempts over workers falls with the root of the dispatchers that see one (docs/design/subsetting.md).
-MIN_MEMBERSHIPS = 8
-# A dispatcher that sees fewer workers finds none free, or learns too little from those it has.
-MIN_SUBSET = 48
-# Workers up to which the whole view is cheap enough, and serves as well (docs/CAPACITY.md).
-LARGEST_WHOLE_VIEW = 400
-HOME_SHARE = 0.75  # of the dispatchers at a worker that are in its zone; the others are the reserve
+# With fewer dispatchers for each worker, a few busy or faulty dispatchers decide how loaded the worker is.
+# The spread of attempts over workers falls with the square root of the dispatchers per worker
+# (docs/design/subsetting.md).
+MIN_DISPATCHERS_PER_WORKER = 8
+# A dispatcher with fewer workers may find none free, or may learn too little from those that it has.
+MIN_SUBSET_WORKERS = 48
+# Up to this many workers, using the whole fleet is cheap enough and performs as well (docs/CAPACITY.md).
+LARGEST_WHOLE_VIEW_WORKERS = 400
+# The share of a worker's dispatchers that are in the worker's zone. The others are a reserve for its loss.
+SAME_ZONE_SHARE = 0.75
 
 
 @dataclass(frozen=True, slots=True)
 class SubsetSize:
-    """How many dispatchers see each worker: some of its own zone, some of the others."""
+    """How many dispatchers use each worker, from the worker's own zone and from the other zones."""
 
-    home: int
-    away: int
+    same_zone: int
+    other_zones: int
 
     @property
-    def memberships(self) -> int:
-        """Dispatchers that see one worker."""
-        return self.home + self.away
+    def dispatchers_per_worker(self) -> int:
+        """The number of dispatchers that use one worker."""
+        return self.same_zone + self.other_zones
 
 
 def subset_size(
-    dispatchers: int, workers: int, zones: int, largest_whole_view: int = LARGEST_WHOLE_VIEW
+    dispatchers: int, workers: int, zones: int, largest_whole_view: int = LARGEST_WHOLE_VIEW_WORKERS
 ) -> SubsetSize | None:
-    """The size for a fleet; None where every dispatcher sees every worker.
+    """Return the subset size for a fleet, or None if every dispatcher uses every worker.
 
-    `dispatchers`, `workers` and `zones` are counts. A fleet of up to `largest_whole_view` workers, or of so
-    few that a subset would hold them all, needs none, and neither does one dispatcher.
+    `dispatchers`, `workers` and `zones` are counts. There are no subsets in a fleet of up to
+    `largest_whole_view` workers, in a fleet so small that a subset would contain all workers, and with a
+    single dispatcher. Raises ValueError if `dispatchers` is less than 1.
     """
     if dispatchers < 1:
         raise ValueError(f"dispatchers: {dispatchers} read; at least 1 is allowed")
     if workers <= largest_whole_view:
         return None
-    memberships = max(MIN_MEMBERSHIPS, math.ceil(MIN_SUBSET * dispatchers / workers))
-    if memberships >= dispatchers:
+    dispatchers_per_worker = max(
+        MIN_DISPATCHERS_PER_WORKER, math.ceil(MIN_SUBSET_WORKERS * dispatchers / workers)
+    )
+    if dispatchers_per_worker >= dispatchers:
         return None
     if zones < 2:
-        return SubsetSize(memberships, 0)
-    home = math.ceil(HOME_SHARE * memberships)
-    return SubsetSize(home, memberships - home)
+        return SubsetSize(dispatchers_per_worker, 0)
+    same_zone = math.ceil(SAME_ZONE_SHARE * dispatchers_per_worker)
+    return SubsetSize(same_zone, dispatchers_per_worker - same_zone)
 
 
-def settings_for_subset(settings: i.Settings, memberships: int) -> i.Settings:
-    """The settings of a decision module that shares its workers with so many dispatchers, itself counted.
+def settings_for_subset(settings: i.Settings, dispatchers_per_worker: int) -> i.Settings:
+    """Return the settings for a decision module whose workers are each used by `dispatchers_per_worker`.
 
-    Its estimates of what others do to a worker, and its part of a cold worker's budget, count those who may
-    really send to that worker. Its part of a tenant's quota stays what it is among all dispatchers.
+    This dispatcher counts as one of them. The decision module estimates the load from other dispatchers, and
+    divides a cold worker's budget, by the dispatchers that can send to that worker. Its part of a tenant's
+    quota stays the part among all dispatchers.
     """
-    share = memberships / settings.dispatchers
-    tenants = tuple(replace(t, quota=t.quota * share) for t in settings.tenants)
-    return replace(settings, dispatchers=memberships, tenants=tenants)
+    share = dispatchers_per_worker / settings.dispatchers
+    tenants = tuple(replace(tenant, quota=tenant.quota * share) for tenant in settings.tenants)
+    return replace(settings, dispatchers=dispatchers_per_worker, tenants=tenants)
