--- a/wickgw/subsetting/subset.py
+++ b/wickgw/subsetting/subset.py
@@ -1,15 +1,15 @@
-"""One dispatcher's subset of the workers, kept up to date with the list and with what attempts tell.
+"""Maintains one dispatcher's subset of the workers from the list of workers and the results of attempts.
 
 A worker is in the subset for one of two reasons:
 
-| reason | begins | ends |
+| reason | from | until |
 | --- | --- | --- |
-| member | its rank gives this dispatcher a seat at it | it leaves the list |
-| substitute | members that can serve fall short of its share of the fleet | enough can again |
+| member | this dispatcher's rank gives it one of the worker's places | the worker leaves the list |
+| substitute | the capacity of the subset falls short of the fair share | the other workers suffice again |
 
-Members that drain, are gone, are cold or fail attempt after attempt count for nothing, or for the share that
-they can carry. Substitutes are taken in the order of this dispatcher's rank at them, warm ones first, so that
-many dispatchers which lose the same members spread over the rest of the fleet.
+A member that drains, is gone or fails attempt after attempt has no capacity. A cold member has only part of
+its capacity. Substitutes are added in the order of this dispatcher's rank for them, warm workers first.
+Dispatchers that lose the same members therefore spread over the rest of the fleet.
 """
 
 import heapq
@@ -23,227 +23,257 @@
     AttemptEnded,
     FleetListed,
     SetTimer,
-    ShowWorkers,
     SubsetAction,
     SubsetEvent,
     TimerFired,
+    UpdateSubset,
     WorkerT,
 )
 from wickgw.subsetting.ranking import Dispatcher, Ranking
 from wickgw.subsetting.sizing import SubsetSize
 
-# Of a dispatcher's share of the fleet: with less than this its subset is filled up to the whole share.
-REFILL_BELOW = 0.8
-MAX_GROWTH = 4.0  # times its share of the fleet that a subset holds at most
-# Attempts in a row without one served, from which a worker counts for nothing. One of hundreds of dispatchers
-# meets a worker once in many seconds: with more, a lost zone would be learned only when its list is.
-MAX_FAILURES = 2
-# A zone in which those that this dispatcher has can carry less than this is taken for lost: its workers come
-# last as substitutes.
-HEALTHY_ZONE = 0.5
-RECHECK_S = 1.0  # between looks at members that warm up, and at substitutes that may go
-READ_AT_ONCE = 256  # workers of a long list that are taken in one call: about two milliseconds
-SHOW_AT_ONCE = 64  # changes shown in one call: the decision module needs up to two milliseconds for them
-NEXT_STEP_S = 0.0  # until the next call that takes or shows more of it
+# A fraction of the fair share. With less capacity than this, the subset is refilled to the whole share.
+REFILL_THRESHOLD = 0.8
+MAX_SHARE_MULTIPLE = 4.0  # the largest size of a subset, as a multiple of the fair share
+# A worker has no capacity after this many attempts in a row that were not served. One of hundreds of
+# dispatchers uses a given worker only once in many seconds. With a higher limit, a dispatcher would notice
+# a lost zone only when the list of workers changes.
+MAX_CONSECUTIVE_FAILURES = 2
+# A zone counts as lost if the mean capacity of its workers in the subset is below this fraction. The
+# workers of a lost zone are the last choice for substitutes.
+MIN_HEALTHY_ZONE_CAPACITY = 0.5
+RECHECK_INTERVAL_S = 1.0  # between checks of cold members, and of substitutes that may be dropped
+LIST_BATCH_WORKERS = 256  # workers of a long list processed in one call, which takes about 2 ms
+UPDATE_BATCH_WORKERS = 64  # changes returned by one call; the decision module needs up to 2 ms for them
+NEXT_STEP_DELAY_S = 0.0  # until the next call that processes or returns the rest
 
 
 @dataclass(slots=True, eq=False)
 class KnownWorker(Generic[WorkerT]):
     """One worker of the whole list."""
 
-    listed: WorkerT
-    distance: float  # `Rank.distance`: its place among the substitutes
-    failures: int = 0  # attempts in a row without one served
+    listed: WorkerT  # its current entry in the list
+    distance: float  # `Rank.distance`, the sort key for substitutes
+    failures: int = 0  # consecutive attempts that were not served
 
 
 class WorkerSubset(Generic[WorkerT]):
-    """Feed it events in order with their time; carry out the actions it returns."""
+    """The subset of one dispatcher.
+
+    Pass events to `handle` in order of time, and carry out the actions that `handle` returns.
+    """
 
     def __init__(
         self, dispatchers: tuple[Dispatcher, ...], own: str, size: SubsetSize, settings: i.Settings
     ) -> None:
+        """Create an empty subset for the dispatcher named `own`, one of `dispatchers`.
+
+        Raises ValueError for a name that occurs twice, and UnknownDispatcherError if `own` is missing.
+        """
         self.ranking = Ranking(dispatchers, own, size)
-        self.dispatchers, self.size, self.settings = len(dispatchers), size, settings
+        self.dispatcher_count, self.size, self.settings = len(dispatchers), size, settings
         self.known: dict[str, KnownWorker[WorkerT]] = {}
         self.members: dict[str, KnownWorker[WorkerT]] = {}
-        # In the order in which they were taken.
+        # In the order in which they were added.
         self.substitutes: dict[str, KnownWorker[WorkerT]] = {}
-        self._ready: set[str] = set()  # of the known workers
-        self._shown: dict[str, WorkerT] = {}
-        self._unread: list[WorkerT] = []  # of the list
-        self._reading_in_steps = False  # a long list is being taken; the subset is as it was before
-        self._unshown = False  # more has changed than one call shows
+        self._ready: set[str] = set()  # names of the known workers that are ready
+        self._published: dict[str, WorkerT] = {}  # the workers of the subset, as last returned to the caller
+        self._pending: list[WorkerT] = []  # workers of the list that are not processed yet
+        self._batching_list = False  # a long list is being processed; the subset is unchanged until the end
+        self._publish_pending = False  # there are more changes than one call returns
         self._timer_set = False
 
     def handle(self, event: SubsetEvent[WorkerT], now: float) -> list[SubsetAction[WorkerT]]:
-        """Take one event at its time; return what to do about it."""
+        """Process `event` at time `now`, in seconds, and return the resulting actions."""
         match event:
             case FleetListed():
-                self._listed(event)
+                self._receive_list(event)
             case AttemptEnded():
-                if not self._attempt_ended(event) or not self.settled:
+                if not self._record_attempt(event) or not self.settled:
                     return []
             case TimerFired():
                 self._timer_set = False
-                return self._go_on(now)
-        return [SetTimer(NEXT_STEP_S)] if self._reading_in_steps else self._go_on(now)
+                return self._run_step(now)
+        return [SetTimer(NEXT_STEP_DELAY_S)] if self._batching_list else self._run_step(now)
 
     @property
     def settled(self) -> bool:
-        """Whether all of the list is read, and all that follows from it is shown."""
-        return not self._reading_in_steps and not self._unshown
-
-    def _go_on(self, now: float) -> list[SubsetAction[WorkerT]]:
-        """One step: read a part of the list, or fill the subset and show what has changed. A short list is
-        read and shown in one step."""
-        if self._unread:
-            self._read_some()
-            if self._reading_in_steps:
-                return [SetTimer(NEXT_STEP_S)]
-        self._reading_in_steps = False
-        self._fill(now)
-        return self._show() + self._timer(now)
-
-    # What is known.
-
-    def _listed(self, event: FleetListed[WorkerT]) -> None:
+        """Whether the whole list is processed and all resulting changes are returned."""
+        return not self._batching_list and not self._publish_pending
+
+    def _run_step(self, now: float) -> list[SubsetAction[WorkerT]]:
+        """Run one step: process a batch of the list, or adjust the subset and return the changes.
+
+        A short list is processed completely, and its changes are returned, in one step.
+        """
+        if self._pending:
+            self._process_list_batch()
+            if self._batching_list:
+                return [SetTimer(NEXT_STEP_DELAY_S)]
+        self._batching_list = False
+        self._adjust_substitutes(now)
+        return self._publish() + self._next_timer(now)
+
+    # The list of workers.
+
+    def _receive_list(self, event: FleetListed[WorkerT]) -> None:
+        """Queue the workers of a list; a list that replaces the old one removes missing workers at once."""
         if event.kind in (i.ListKind.REPLACE, i.ListKind.RESTORED):
             listed = {worker.entry.worker for worker in event.workers}
             for name in [name for name in self.known if name not in listed]:
-                self._forget(name)
-            self._unread.clear()
-        self._unread += event.workers
-        if len(self._unread) > READ_AT_ONCE:
-            self._reading_in_steps = True
-
-    def _read_some(self) -> None:
-        """Take the next workers of the list; those that are new are ranked together."""
-        part, self._unread = self._unread[:READ_AT_ONCE], self._unread[READ_AT_ONCE:]
-        batch = {worker.entry.worker: worker for worker in part}.values()  # the last entry of a name counts
-        new = {worker.entry.worker: worker for worker in batch if self._is_new(worker)}
+                self._remove_worker(name)
+            self._pending.clear()
+        self._pending += event.workers
+        if len(self._pending) > LIST_BATCH_WORKERS:
+            self._batching_list = True
+
+    def _process_list_batch(self) -> None:
+        """Process the next workers of the list. New workers are ranked together."""
+        chunk, self._pending = (
+            self._pending[:LIST_BATCH_WORKERS],
+            self._pending[LIST_BATCH_WORKERS:],
+        )
+        batch = {worker.entry.worker: worker for worker in chunk}.values()  # the last entry of a name wins
+        new = {worker.entry.worker: worker for worker in batch if self._needs_ranking(worker)}
         ranks = self.ranking.rank([(name, worker.zone) for name, worker in new.items()])
         for (name, worker), rank in zip(new.items(), ranks, strict=True):
-            self._forget(name)
+            self._remove_worker(name)
             known = self.known[name] = KnownWorker(worker, rank.distance)
             if rank.member:
                 self.members[name] = known
         for worker in batch:
             if worker.entry.health is i.Health.GONE:
-                self._forget(worker.entry.worker)
+                self._remove_worker(worker.entry.worker)
             else:
-                self._learn(worker)
+                self._update_worker(worker)
 
-    def _is_new(self, worker: WorkerT) -> bool:
+    def _needs_ranking(self, worker: WorkerT) -> bool:
+        """Return whether `worker` is new or has moved to another zone."""
         known = self.known.get(worker.entry.worker)
         return known is None or known.listed.zone != worker.zone
 
-    def _learn(self, worker: WorkerT) -> None:
+    def _update_worker(self, worker: WorkerT) -> None:
+        """Store the new list entry of a known worker."""
         name = worker.entry.worker
         known = self.known[name]
         if worker.entry.health is i.Health.READY:
             self._ready.add(name)
         else:
             self._ready.discard(name)
-        if known.listed.entry.since != worker.entry.since:  # it started anew
+        if known.listed.entry.since != worker.entry.since:  # the worker restarted
             known.failures = 0
         known.listed = worker
 
-    def _forget(self, name: str) -> None:
+    def _remove_worker(self, name: str) -> None:
         self.known.pop(name, None)
         self._ready.discard(name)
         self.members.pop(name, None)
         self.substitutes.pop(name, None)
 
-    def _attempt_ended(self, event: AttemptEnded) -> bool:
-        """Count failures in a row; whether the worker counts for more or less than before."""
+    def _record_attempt(self, event: AttemptEnded) -> bool:
+        """Count consecutive failures. Return whether the worker crossed the limit on failures."""
         worker = self.known.get(event.worker)
         if worker is None:
             return False
         before = worker.failures
         worker.failures = 0 if event.served else before + 1
-        return (before >= MAX_FAILURES) != (worker.failures >= MAX_FAILURES)
+        return (before >= MAX_CONSECUTIVE_FAILURES) != (worker.failures >= MAX_CONSECUTIVE_FAILURES)
 
-    # Who is in the subset.
+    # The workers in the subset.
 
     def capacity(self, worker: KnownWorker[WorkerT], now: float) -> float:
-        """The share of a warm worker's work that one can carry now."""
+        """Return the capacity of `worker` at time `now`, as a fraction of a warm worker's capacity.
+
+        The capacity is 0 for a worker that is not ready or that fails repeatedly. It grows linearly from
+        `cold_from` at the worker's start to 1 after `warm_after` seconds.
+        A worker whose start is unknown counts as warm.
+        """
         entry = worker.listed.entry
-        if entry.health is not i.Health.READY or worker.failures >= MAX_FAILURES:
+        if entry.health is not i.Health.READY or worker.failures >= MAX_CONSECUTIVE_FAILURES:
             return 0.0
         if entry.since is None or self.settings.warm_after <= 0:
             return 1.0
         age = max(0.0, now - entry.since) / self.settings.warm_after
         return min(1.0, self.settings.cold_from + (1 - self.settings.cold_from) * age)
 
-    def share(self) -> int:
-        """Workers that are this dispatcher's part of the fleet, on the average."""
-        return math.ceil(self.size.memberships * len(self._ready) / self.dispatchers)
+    def fair_share(self) -> int:
+        """Return the mean number of ready workers in a subset, rounded up."""
+        return math.ceil(self.size.dispatchers_per_worker * len(self._ready) / self.dispatcher_count)
 
-    def _capacity_of(self, workers: Iterable[KnownWorker[WorkerT]], now: float) -> float:
+    def _total_capacity(self, workers: Iterable[KnownWorker[WorkerT]], now: float) -> float:
+        """Return the sum of the workers' capacities, in warm workers."""
         return sum(self.capacity(worker, now) for worker in workers)
 
-    def _fill(self, now: float) -> None:
-        """Take substitutes while members fall short, and let those go that are not needed any more."""
-        share = self.share()
-        held = self._capacity_of(self.members.values(), now)
-        held += self._capacity_of(self.substitutes.values(), now)
+    def _adjust_substitutes(self, now: float) -> None:
+        """Add substitutes if the capacity is too low, and drop those that are no longer needed."""
+        share = self.fair_share()
+        total = self._total_capacity(self.members.values(), now)
+        total += self._total_capacity(self.substitutes.values(), now)
         for name in reversed(list(self.substitutes)):
-            spared = self.capacity(self.substitutes[name], now)
-            if held - spared < share:
+            excess = self.capacity(self.substitutes[name], now)
+            if total - excess < share:
                 break
-            held -= spared
+            total -= excess
             del self.substitutes[name]
-        if held < REFILL_BELOW * share:
-            self._take_substitutes(share, held, now)
-
-    def _take_substitutes(self, share: int, held: float, now: float) -> None:
-        room = math.ceil(MAX_GROWTH * share) - len(self.members) - len(self.substitutes)
-        for name in self._candidates(room, now):
-            if held >= share:
+        if total < REFILL_THRESHOLD * share:
+            self._add_substitutes(share, total, now)
+
+    def _add_substitutes(self, share: int, total: float, now: float) -> None:
+        """Add candidates until the capacity, now `total`, reaches `share` or the subset is at its maximum."""
+        available = math.ceil(MAX_SHARE_MULTIPLE * share) - len(self.members) - len(self.substitutes)
+        for name in self._candidates(available, now):
+            if total >= share:
                 return
             worker = self.substitutes[name] = self.known[name]
-            held += self.capacity(worker, now)
+            total += self.capacity(worker, now)
+
+    def _candidates(self, limit: int, now: float) -> list[str]:
+        """Return the names of up to `limit` workers outside the subset that can serve.
 
-    def _candidates(self, most: int, now: float) -> list[str]:
-        """Workers outside the subset that can serve: warm ones in healthy zones first, then by rank."""
-        health = self._health_of_zones(now)
-        lost = {zone for zone, mean in health.items() if mean < HEALTHY_ZONE}
+        Warm workers in healthy zones come first, then the order is that of their ranks.
+        """
+        mean_capacity = self._mean_capacity_by_zone(now)
+        lost_zones = {zone for zone, mean in mean_capacity.items() if mean < MIN_HEALTHY_ZONE_CAPACITY}
         found = []
         for name in self._ready - self.members.keys() - self.substitutes.keys():
             worker = self.known[name]
-            if worker.failures < MAX_FAILURES:
-                last = worker.listed.zone in lost or self.capacity(worker, now) < 1
-                found.append((last, worker.distance, name))
-        return [name for _, _, name in heapq.nsmallest(most, found)]
+            if worker.failures < MAX_CONSECUTIVE_FAILURES:
+                deferred = worker.listed.zone in lost_zones or self.capacity(worker, now) < 1
+                found.append((deferred, worker.distance, name))
+        return [name for _, _, name in heapq.nsmallest(limit, found)]
 
-    def _health_of_zones(self, now: float) -> dict[str, float]:
-        """Of each zone, the mean of what those in the subset can carry."""
+    def _mean_capacity_by_zone(self, now: float) -> dict[str, float]:
+        """Return the mean capacity, for each zone, of its workers in the subset."""
         capacities: dict[str, list[float]] = {}
         for worker in (*self.members.values(), *self.substitutes.values()):
             capacities.setdefault(worker.listed.zone, []).append(self.capacity(worker, now))
-        return {zone: sum(found) / len(found) for zone, found in capacities.items()}
+        return {zone: sum(values) / len(values) for zone, values in capacities.items()}
+
+    # The actions returned.
 
-    # What is shown, and when to look again.
+    def _publish(self) -> list[SubsetAction[WorkerT]]:
+        """Return the next differences between the subset and the version last returned.
 
-    def _show(self) -> list[SubsetAction[WorkerT]]:
-        """Show the next differences between the subset and what is shown, bad news first."""
+        Removed workers and workers that are not ready come first.
+        """
         current = {name: worker.listed for name, worker in (self.members | self.substitutes).items()}
-        gone = [name for name in self._shown if name not in current]
-        changed = [worker for name, worker in current.items() if self._shown.get(name) != worker]
+        removed = [name for name in self._published if name not in current]
+        changed = [worker for name, worker in current.items() if self._published.get(name) != worker]
         changed.sort(key=lambda worker: worker.entry.health is i.Health.READY)
-        room = max(0, SHOW_AT_ONCE - len(gone))
-        self._unshown = len(changed) > room
-        for name in gone:
-            del self._shown[name]
-        for worker in changed[:room]:
-            self._shown[worker.entry.worker] = worker
-        return [ShowWorkers(tuple(changed[:room]), tuple(gone))] if gone or changed else []
-
-    def _timer(self, now: float) -> list[SubsetAction[WorkerT]]:
-        if self._unshown:
-            return [SetTimer(NEXT_STEP_S)]
+        limit = max(0, UPDATE_BATCH_WORKERS - len(removed))
+        self._publish_pending = len(changed) > limit
+        for name in removed:
+            del self._published[name]
+        for worker in changed[:limit]:
+            self._published[worker.entry.worker] = worker
+        return [UpdateSubset(tuple(changed[:limit]), tuple(removed))] if removed or changed else []
+
+    def _next_timer(self, now: float) -> list[SubsetAction[WorkerT]]:
+        """Return the timer for the next step, or for the next check of cold members and substitutes."""
+        if self._publish_pending:
+            return [SetTimer(NEXT_STEP_DELAY_S)]
         cold = any(0 < self.capacity(worker, now) < 1 for worker in self.members.values())
         if self._timer_set or not (cold or self.substitutes):
             return []
         self._timer_set = True
-        return [SetTimer(RECHECK_S)]
+        return [SetTimer(RECHECK_INTERVAL_S)]
