--- a/tests/test_address_core.py
+++ b/tests/test_address_core.py
@@ -1,4 +1,4 @@
-"""The core of moving addresses, event by event: votes, terms, membership, plans."""
+"""The address coordinator and its parts, event by event: votes, terms, leases, membership, ranking."""
 
 from typing import Any
 
@@ -6,102 +6,114 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickgw.address import events as e
-from wickgw.address.group import Group
-from wickgw.address.membership import Membership, State
+from wickgw.address import events
+from wickgw.address.coordinator import Coordinator
+from wickgw.address.lease import TRANSITIONS, AddressLease, InvalidTransition, Stage, Trigger
+from wickgw.address.membership import Membership, MemberState
 from wickgw.address.messages import Ask, Beat, Deny, Grant, Message, View, Yield
-from wickgw.address.plan import ranking
-from wickgw.address.tenure import TABLE, Stage, Tenure, Turn, WrongTurn
+from wickgw.address.plan import rank_instances
+from wickgw.address.replay_window import WINDOW_DATAGRAMS, ReplayWindow
 from wickgw.address.votes import Voter
-from wickgw.address.window import WIDTH, Window
 
 MEMBERS = ("a", "b", "c")
-BOUND, HELD = 1.01, 0.99
+VOTER_LEASE_S, HOLDER_LEASE_S = 1.01, 0.99
 
 
 class Instance:
-    """One `Group` driven by hand."""
-
-    def __init__(self, me: str = "a", kept: tuple[e.Kept, ...] | None = (), **more: Any) -> None:
-        self.now, self.said, self.all = 100.0, list[e.Action](), list[e.Action]()
-        self.core = Group(e.Settings(me, MEMBERS, (e.Place("east"),), **more))
-        self.feed(e.Began(1_000, kept))
-        self.feed(e.Able(True))
-
-    def feed(self, event: e.Event) -> list[e.Action]:
-        self.said = self.core.handle(event, self.now)
-        self.all += self.said
-        return self.said
-
-    def hear(self, sender: str, message: Message, boot: int = 500) -> list[e.Action]:
-        return self.feed(e.Heard(sender, boot, message))
-
-    def beat(self, *senders: str) -> None:
+    """One `Coordinator` with a clock that the test sets. Records the actions of the last event and of all."""
+
+    def __init__(
+        self,
+        name: str = "a",
+        stored_votes: tuple[events.StoredVote, ...] | None = (),
+        **more_settings: Any,
+    ) -> None:
+        self.now, self.actions, self.all_actions = 100.0, list[events.Action](), list[events.Action]()
+        self.coordinator = Coordinator(
+            events.Settings(name, MEMBERS, (events.ServiceAddress("east"),), **more_settings)
+        )
+        self.handle(events.Started(1_000, stored_votes))
+        self.handle(events.ReadinessChanged(True))
+
+    def handle(self, event: events.Event) -> list[events.Action]:
+        self.actions = self.coordinator.handle(event, self.now)
+        self.all_actions += self.actions
+        return self.actions
+
+    def receive(self, sender: str, message: Message, boot: int = 500) -> list[events.Action]:
+        return self.handle(events.MessageReceived(sender, boot, message))
+
+    def receive_heartbeats(self, *senders: str) -> None:
         for sender in senders:
-            self.hear(sender, Beat(0, (), (), (), ()))
+            self.receive(sender, Beat(0, (), (), (), ()))
 
-    def wait(self, seconds: float, *beating: str) -> list[e.Action]:
-        """Let time pass in steps, with beats of others; returns all that was said."""
-        end, before = self.now + seconds, len(self.all)
+    def wait(self, seconds: float, *heartbeat_senders: str) -> list[events.Action]:
+        """Let time pass in steps, with heartbeats of these instances. Returns all actions."""
+        end, count_before = self.now + seconds, len(self.all_actions)
         while self.now < end:
             self.now = min(end, self.now + 0.05)
-            self.beat(*beating)
-            self.feed(e.Tick())
-        return self.all[before:]
-
-    def told(self, kind: type, said: list[e.Action] | None = None) -> list[Any]:
-        said = self.said if said is None else said
-        return [a.message for a in said if isinstance(a, e.Tell) and isinstance(a.message, kind)]
+            self.receive_heartbeats(*heartbeat_senders)
+            self.handle(events.Tick())
+        return self.all_actions[count_before:]
+
+    def sent(self, kind: type, actions: list[events.Action] | None = None) -> list[Any]:
+        """Return the messages of a kind that `actions` send; by default the actions of the last event."""
+        actions = self.actions if actions is None else actions
+        return [
+            action.message
+            for action in actions
+            if isinstance(action, events.SendMessage) and isinstance(action.message, kind)
+        ]
 
     def win(self) -> int:
-        """Be the holder; returns the term."""
+        """Make the instance the holder. Returns the term."""
         self.wait(0.3, "b", "c")
-        ask = self.told(Ask, self.all)[-1]
-        self.hear("b", Grant("east", ask.term, ask.round, 1_000))
-        self.feed(e.Announced("east", ask.term, True))
-        assert self.tenure.stage is Stage.HELD
+        ask = self.sent(Ask, self.all_actions)[-1]
+        self.receive("b", Grant("east", ask.term, ask.round, 1_000))
+        self.handle(events.AnnounceCompleted("east", ask.term, True))
+        assert self.lease.stage is Stage.HELD
         return int(ask.term)
 
     @property
-    def tenure(self) -> Tenure:
-        return self.core.tenures["east"]
+    def lease(self) -> AddressLease:
+        return self.coordinator.leases["east"]
 
 
-def test_one_vote_a_term_and_terms_only_grow() -> None:
-    voter = Voter(BOUND)
-    assert voter.ask("east", "a", 5, 0.0)
-    assert not voter.ask("east", "b", 5, 0.1), "two votes in a term"
-    assert not voter.ask("east", "b", 6, 0.1), "the vote still runs"
-    assert voter.ask("east", "a", 5, 0.5), "the holder renews its own"
-    assert not voter.ask("east", "b", 6, 1.4)
-    assert voter.ask("east", "b", 6, 0.5 + BOUND)
-    assert not voter.ask("east", "a", 5, 9.0), "a term that is over comes back"
+def test_voter_gives_one_vote_per_term_and_terms_only_grow() -> None:
+    voter = Voter(VOTER_LEASE_S)
+    assert voter.request_vote("east", "a", 5, 0.0)
+    assert not voter.request_vote("east", "b", 5, 0.1), "two votes in a term"
+    assert not voter.request_vote("east", "b", 6, 0.1), "the vote is still binding"
+    assert voter.request_vote("east", "a", 5, 0.5), "the holder renews its own"
+    assert not voter.request_vote("east", "b", 6, 1.4)
+    assert voter.request_vote("east", "b", 6, 0.5 + VOTER_LEASE_S)
+    assert not voter.request_vote("east", "a", 5, 9.0), "a vote for a past term"
 
 
-def test_only_the_holder_ends_its_vote_and_never_takes_the_term_up_again() -> None:
-    voter = Voter(BOUND)
-    voter.ask("east", "a", 5, 0.0)
-    voter.let_go("east", 5, "b")
-    voter.let_go("east", 4, "a")
-    assert not voter.ask("east", "b", 6, 0.1)
-    voter.let_go("east", 5, "a")
-    assert not voter.ask("east", "a", 5, 0.1), "a late asking revives what was let go"
-    assert voter.ask("east", "b", 6, 0.1)
+def test_only_the_holder_releases_its_vote_and_a_released_term_is_not_renewed() -> None:
+    voter = Voter(VOTER_LEASE_S)
+    voter.request_vote("east", "a", 5, 0.0)
+    voter.release("east", 5, "b")
+    voter.release("east", 4, "a")
+    assert not voter.request_vote("east", "b", 6, 0.1)
+    voter.release("east", 5, "a")
+    assert not voter.request_vote("east", "a", 5, 0.1), "a late request renewed a released vote"
+    assert voter.request_vote("east", "b", 6, 0.1)
 
 
-def test_voter_without_memory_is_quiet_for_a_whole_lease() -> None:
-    voter = Voter(BOUND)
-    voter.began(None, 10.0)
-    assert not voter.ask("east", "a", 5, 10.0 + BOUND - 0.001)
-    assert voter.ask("east", "a", 5, 10.0 + BOUND)
+def test_voter_without_stored_votes_does_not_vote_for_a_whole_lease() -> None:
+    voter = Voter(VOTER_LEASE_S)
+    voter.restore(None, 10.0)
+    assert not voter.request_vote("east", "a", 5, 10.0 + VOTER_LEASE_S - 0.001)
+    assert voter.request_vote("east", "a", 5, 10.0 + VOTER_LEASE_S)
 
 
-def test_voter_with_a_state_file_votes_at_once_but_for_the_holder_only() -> None:
-    voter = Voter(BOUND)
-    voter.began((e.Kept("east", 5, "a", False), e.Kept("west", 3, "b", True)), 10.0)
-    assert voter.ask("east", "a", 5, 10.0)
-    assert not voter.ask("east", "b", 6, 10.5)
-    assert voter.ask("west", "c", 4, 10.0)
+def test_voter_with_stored_votes_votes_at_once_but_only_for_the_holder() -> None:
+    voter = Voter(VOTER_LEASE_S)
+    voter.restore((events.StoredVote("east", 5, "a", False), events.StoredVote("west", 3, "b", True)), 10.0)
+    assert voter.request_vote("east", "a", 5, 10.0)
+    assert not voter.request_vote("east", "b", 6, 10.5)
+    assert voter.request_vote("west", "c", 4, 10.0)
 
 
 @settings(derandomize=True, max_examples=300)
@@ -116,195 +128,222 @@
         max_size=40,
     )
 )
-def test_votes_that_bind_never_bind_to_two(steps: list[tuple[str, str, int, float]]) -> None:
-    """Whatever comes: while one holder may count on this voter, no other is granted anything."""
-    voter, now = Voter(BOUND), 0.0
-    counting: dict[str, float] = {}
-    for kind, who, term, wait in steps:
-        now += wait
-        if kind == "ask" and voter.ask("east", who, term, now):
-            others = [h for h, until in counting.items() if h != who and until > now]
-            assert not others, f"{who} and {others}"
-            counting[who] = now + HELD  # it asked at the latest now
-        elif kind == "go" and (vote := voter.votes.get("east")) is not None and vote.holder == who:
-            voter.let_go("east", vote.term, who)
-            counting.pop(who, None)
+def test_votes_never_bind_to_two_holders(steps: list[tuple[str, str, int, float]]) -> None:
+    """After any sequence of requests, releases and restarts: while a holder may rely on this voter, no other
+    instance is granted a vote."""
+    voter, now = Voter(VOTER_LEASE_S), 0.0
+    relied_on_until: dict[str, float] = {}
+    for kind, instance, term, wait_s in steps:
+        now += wait_s
+        if kind == "ask" and voter.request_vote("east", instance, term, now):
+            others = [other for other, until in relied_on_until.items() if other != instance and until > now]
+            assert not others, f"{instance} and {others}"
+            relied_on_until[instance] = now + HOLDER_LEASE_S  # it sent the request now or earlier
+        elif kind == "go" and (vote := voter.votes.get("east")) is not None and vote.holder == instance:
+            voter.release("east", vote.term, instance)
+            relied_on_until.pop(instance, None)
         elif kind == "restart":
-            voter = Voter(BOUND)
-            voter.began(None, now)
+            voter = Voter(VOTER_LEASE_S)
+            voter.restore(None, now)
 
 
 @pytest.mark.parametrize("stage", Stage)
-@pytest.mark.parametrize("turn", Turn)
-def test_what_the_table_does_not_name_is_an_error(stage: Stage, turn: Turn) -> None:
-    tenure = Tenure("east", stage)
-    if (stage, turn) in TABLE:
-        tenure.turn(turn, 0.0)
-        assert tenure.stage is TABLE[stage, turn]
+@pytest.mark.parametrize("trigger", Trigger)
+def test_transition_that_is_not_in_the_table_is_an_error(stage: Stage, trigger: Trigger) -> None:
+    lease = AddressLease("east", stage)
+    if (stage, trigger) in TRANSITIONS:
+        lease.transition(trigger, 0.0)
+        assert lease.stage is TRANSITIONS[stage, trigger]
     else:
-        with pytest.raises(WrongTurn, match=f"{turn.value} while {stage.value}"):
-            tenure.turn(turn, 0.0)
+        with pytest.raises(InvalidTransition, match=f"{trigger.value} while {stage.value}"):
+            lease.transition(trigger, 0.0)
 
 
-def test_lease_counts_from_before_the_asking_however_late_the_grant() -> None:
+def test_lease_is_counted_from_before_the_request_however_late_the_grant() -> None:
     instance = Instance()
-    ask = instance.told(Ask, instance.wait(0.3, "b", "c"))[-1]
-    asked, instance.now = instance.tenure.asked[ask.round], instance.now + 0.02
-    said = instance.hear("b", Grant("east", ask.term, ask.round, 1_000))
-    (announce,) = [a for a in said if isinstance(a, e.Announce)]
-    assert announce.until == pytest.approx(asked + HELD) and announce.until < instance.now + HELD
+    ask = instance.sent(Ask, instance.wait(0.3, "b", "c"))[-1]
+    asked_at, instance.now = instance.lease.asked_at[ask.round], instance.now + 0.02
+    actions = instance.receive("b", Grant("east", ask.term, ask.round, 1_000))
+    (announce,) = [action for action in actions if isinstance(action, events.Announce)]
+    assert (
+        announce.lease_end == pytest.approx(asked_at + HOLDER_LEASE_S)
+        and announce.lease_end < instance.now + HOLDER_LEASE_S
+    )
 
 
-def test_grant_to_an_earlier_life_or_term_counts_for_nothing() -> None:
+def test_grant_for_an_earlier_start_or_term_is_ignored() -> None:
     instance = Instance()
-    ask = instance.told(Ask, instance.wait(0.3, "b", "c"))[-1]
-    instance.hear("b", Grant("east", ask.term, ask.round, 999))
-    instance.hear("b", Grant("east", ask.term - 1, ask.round, 1_000))
-    assert instance.tenure.stage is Stage.ASKING and instance.core.counted["stale answer"] == 2
+    ask = instance.sent(Ask, instance.wait(0.3, "b", "c"))[-1]
+    instance.receive("b", Grant("east", ask.term, ask.round, 999))
+    instance.receive("b", Grant("east", ask.term - 1, ask.round, 1_000))
+    assert instance.lease.stage is Stage.ASKING and instance.coordinator.counters["stale answer"] == 2
 
 
-def test_holder_that_wakes_after_its_lease_cuts_before_it_listens_to_anything() -> None:
+def test_holder_that_wakes_after_its_lease_fences_before_it_handles_a_message() -> None:
     instance = Instance()
     term = instance.win()
     instance.now += 3.0
-    said = instance.hear("b", Grant("east", term, instance.tenure.round, 1_000))
-    assert e.Cut("east", term) in said and instance.tenure.stage is Stage.CLEARING
-    assert not any(isinstance(a, e.Extend) for a in said), "a grant revived a lease that was over"
+    actions = instance.receive("b", Grant("east", term, instance.lease.round_number, 1_000))
+    assert events.Fence("east", term) in actions and instance.lease.stage is Stage.CLEARING
+    assert not any(isinstance(action, events.ExtendLease) for action in actions), (
+        "a grant renewed an expired lease"
+    )
 
 
-def test_lease_that_is_not_renewed_gets_a_last_call_and_ends() -> None:
+def test_lease_that_is_not_renewed_hurries_pending_requests_and_expires() -> None:
     instance = Instance()
     term = instance.win()
-    said = instance.wait(1.1, "b", "c")
-    calls = [a for a in said if isinstance(a, e.LastCall)]
-    assert len(calls) == 1 and calls[0].until == instance.tenure.until
-    assert e.Cut("east", term) in said
+    actions = instance.wait(1.1, "b", "c")
+    hurries = [action for action in actions if isinstance(action, events.HurryPending)]
+    assert len(hurries) == 1 and hurries[0].lease_end == instance.lease.expires_at
+    assert events.Fence("east", term) in actions
 
 
-def test_planned_move_says_yield_only_when_nothing_is_taken_any_more() -> None:
+def test_planned_handover_sends_yield_only_after_the_address_is_withdrawn() -> None:
     instance = Instance()
     term = instance.win()
-    said = instance.feed(e.Resign())
-    assert e.Retire("east", term) in said and not instance.told(Yield)
+    actions = instance.handle(events.Resign())
+    assert events.Withdraw("east", term) in actions and not instance.sent(Yield)
     instance.now += 0.02
-    instance.feed(e.Withdrawn("east", term))
-    assert {m.to for m in instance.told(Yield)} <= {"b", "c"}
-    assert instance.tenure.stage is Stage.FREE
-    assert not instance.told(Ask, instance.wait(2.0, "b", "c")), "one that ends asks again"
+    instance.handle(events.Withdrawn("east", term))
+    assert {message.to for message in instance.sent(Yield)} <= {"b", "c"}
+    assert instance.lease.stage is Stage.FREE
+    assert not instance.sent(Ask, instance.wait(2.0, "b", "c")), "a resigning instance asked again"
 
 
-def test_successor_vouches_for_the_yield_that_others_have_not_heard() -> None:
+def test_successor_reports_a_yield_that_a_voter_has_not_received() -> None:
     voter = Instance("c")
-    voter.hear("a", Ask("east", 7, 1))
-    voter.hear("b", Ask("east", 8, 1))
-    assert voter.told(Deny)
-    voter.hear("b", Ask("east", 8, 2, over=7))
-    assert voter.told(Grant)
+    voter.receive("a", Ask("east", 7, 1))
+    voter.receive("b", Ask("east", 8, 1))
+    assert voter.sent(Deny)
+    voter.receive("b", Ask("east", 8, 2, over=7))
+    assert voter.sent(Grant)
 
 
-def test_loser_of_an_election_frees_its_voters_at_once() -> None:
+def test_loser_of_an_election_releases_its_votes_at_once() -> None:
     instance = Instance()
-    ask = instance.told(Ask, instance.wait(0.3, "b", "c"))[-1]
+    ask = instance.sent(Ask, instance.wait(0.3, "b", "c"))[-1]
     for voter in ("b", "c"):
-        instance.hear(voter, Deny("east", ask.term, ask.round, 1_000, ask.term + 4, 10))
-    assert instance.told(Yield) and instance.tenure.stage is Stage.FREE
-    again = instance.told(Ask, instance.wait(0.5, "b", "c"))
-    assert again and again[0].term > ask.term + 4, "terms only grow"
+        instance.receive(voter, Deny("east", ask.term, ask.round, 1_000, ask.term + 4, 10))
+    assert instance.sent(Yield) and instance.lease.stage is Stage.FREE
+    later_asks = instance.sent(Ask, instance.wait(0.5, "b", "c"))
+    assert later_asks and later_asks[0].term > ask.term + 4, "terms only grow"
 
 
-def test_below_a_majority_nobody_asks_and_the_status_says_why() -> None:
+def test_without_a_majority_no_instance_asks_and_the_status_says_why() -> None:
     instance = Instance()
-    said = instance.wait(3.0)
-    assert not instance.told(Ask, said)
-    why = instance.core.status(instance.now)["addresses"]["east"]["why"]
+    actions = instance.wait(3.0)
+    assert not instance.sent(Ask, actions)
+    why = instance.coordinator.status(instance.now)["addresses"]["east"]["why"]
     assert why == "no majority: 1 of 3 heard, 2 needed"
-    assert any(isinstance(a, e.Note) and a.event == "group.no-majority" for a in instance.all)
+    assert any(
+        isinstance(action, events.LogEvent) and action.name == "group.no-majority"
+        for action in instance.all_actions
+    )
 
 
-def test_announcer_that_fails_means_not_held_and_a_longer_pause_each_time() -> None:
+def test_failed_announcer_releases_the_address_and_each_failure_doubles_the_pause() -> None:
     instance, pauses = Instance(), list[float]()
     while len(pauses) < 3:
-        before = len(instance.all)
-        while instance.tenure.stage is not Stage.ASKING:
+        count_before = len(instance.all_actions)
+        while instance.lease.stage is not Stage.ASKING:
             instance.wait(0.05, "b", "c")
             assert instance.now < 200.0
-        term = instance.told(Ask, instance.all[before:])[-1].term
-        instance.hear("b", Grant("east", term, instance.tenure.round, 1_000))
-        instance.feed(e.Announced("east", term, False, "in use"))
-        notes = [a for a in instance.said if isinstance(a, e.Note) and a.event == "announce.failed"]
-        pauses.append(notes[0].fields["pause_s"])
-        instance.feed(e.Withdrawn("east", term))
-        assert "in use" in instance.core.status(instance.now)["addresses"]["east"]["why"]
+        term = instance.sent(Ask, instance.all_actions[count_before:])[-1].term
+        instance.receive("b", Grant("east", term, instance.lease.round_number, 1_000))
+        instance.handle(events.AnnounceCompleted("east", term, False, "in use"))
+        failures = [
+            action
+            for action in instance.actions
+            if isinstance(action, events.LogEvent) and action.name == "announce.failed"
+        ]
+        pauses.append(failures[0].fields["pause_s"])
+        instance.handle(events.Withdrawn("east", term))
+        assert "in use" in instance.coordinator.status(instance.now)["addresses"]["east"]["why"]
     assert pauses == [1.0, 2.0, 4.0]
 
 
-def test_move_back_waits_for_the_hold_down_and_a_flapping_instance_never_gets_it() -> None:
-    instance = Instance(hold_down=2.0)
-    instance.core.set = e.Settings("a", MEMBERS, (e.Place("east", ("b",)),), hold_down=2.0)
-    while instance.tenure.stage is not Stage.ASKING:
+def test_move_back_waits_for_the_hold_down_so_a_flapping_instance_does_not_get_the_address() -> None:
+    instance = Instance(hold_down_s=2.0)
+    instance.coordinator.settings = events.Settings(
+        "a", MEMBERS, (events.ServiceAddress("east", ("b",)),), hold_down_s=2.0
+    )
+    while instance.lease.stage is not Stage.ASKING:
         instance.wait(0.05, "c")
-    instance.hear("c", Grant("east", instance.tenure.term, instance.tenure.round, 1_000))
-    instance.feed(e.Announced("east", instance.tenure.term, True))
+    instance.receive("c", Grant("east", instance.lease.term, instance.lease.round_number, 1_000))
+    instance.handle(events.AnnounceCompleted("east", instance.lease.term, True))
 
-    def renew(seconds: float, *beating: str) -> list[e.Action]:
-        said, end = list[e.Action](), instance.now + seconds
+    def renew(seconds: float, *heartbeat_senders: str) -> list[events.Action]:
+        actions, end = list[events.Action](), instance.now + seconds
         while instance.now < end:
-            said += instance.wait(0.05, *beating)
-            said += instance.hear("c", Grant("east", instance.tenure.term, instance.tenure.round, 1_000))
-        return said
-
-    for _ in range(5):  # comes and goes
-        assert not [a for a in renew(1.5, "b", "c") if isinstance(a, e.Retire)]
-        assert not [a for a in renew(1.0, "c") if isinstance(a, e.Retire)]
-    said = renew(2.5, "b", "c")
-    assert [a for a in said if isinstance(a, e.Retire)] and instance.tenure.successor == "b"
-
-
-def test_suspicion_is_refuted_by_a_higher_incarnation_carried_by_a_third() -> None:
-    beat, now = Beat(0, (), (), (), ()), 10.0
+            actions += instance.wait(0.05, *heartbeat_senders)
+            actions += instance.receive(
+                "c", Grant("east", instance.lease.term, instance.lease.round_number, 1_000)
+            )
+        return actions
+
+    for _ in range(5):  # b flaps
+        assert not [action for action in renew(1.5, "b", "c") if isinstance(action, events.Withdraw)]
+        assert not [action for action in renew(1.0, "c") if isinstance(action, events.Withdraw)]
+    actions = renew(2.5, "b", "c")
+    assert [
+        action for action in actions if isinstance(action, events.Withdraw)
+    ] and instance.lease.successor == "b"
+
+
+def test_suspicion_is_refuted_by_a_higher_incarnation_that_a_third_instance_reports() -> None:
+    heartbeat, now = Beat(0, (), (), (), ()), 10.0
     b, a = Membership("b", MEMBERS, 0.1), Membership("a", MEMBERS, 0.1)
     a.boot = 7
-    b.heard("a", 7, beat, now)
-    assert [c.new for c in b.tick(now + 0.4)] == [State.SUSPECTED]
-    old = Beat(0, (), (), (View("a", 7, 0, int(State.ALIVE), 0),), ())
-    assert not [c for c in b.heard("c", 9, old, now + 0.4) if c.member == "a"], "an old rumour revives"
-    a.heard("b", 8, Beat(0, (), (), b.views(now + 0.4), ()), now + 0.4)
-    assert (a.count, a.refuted) == (1, 1)
-    new = Beat(0, (), (), (View("a", 7, a.count, int(State.ALIVE), 5),), ())
-    changes = b.heard("c", 9, new, now + 0.5)
-    assert [(c.member, c.new) for c in changes if c.member == "a"] == [("a", State.ALIVE)]
-    assert "a" not in b.near(now + 0.5), "what others hear is not heard here"
-    assert [c.new for c in b.tick(now + 2)].count(State.DEAD) == 2
-
-
-def test_beat_of_an_earlier_life_says_nothing() -> None:
+    b.on_heartbeat("a", 7, heartbeat, now)
+    assert [change.new_state for change in b.tick(now + 0.4)] == [MemberState.SUSPECTED]
+    old = Beat(0, (), (), (View("a", 7, 0, int(MemberState.ALIVE), 0),), ())
+    assert not [change for change in b.on_heartbeat("c", 9, old, now + 0.4) if change.member == "a"], (
+        "a view of the same incarnation cleared the suspicion"
+    )
+    a.on_heartbeat("b", 8, Beat(0, (), (), b.views(now + 0.4), ()), now + 0.4)
+    assert (a.incarnation, a.refutations) == (1, 1)
+    new = Beat(0, (), (), (View("a", 7, a.incarnation, int(MemberState.ALIVE), 5),), ())
+    changes = b.on_heartbeat("c", 9, new, now + 0.5)
+    assert [(change.member, change.new_state) for change in changes if change.member == "a"] == [
+        ("a", MemberState.ALIVE)
+    ]
+    assert "a" not in b.reachable(now + 0.5), "reachable although only c hears it"
+    assert [change.new_state for change in b.tick(now + 2)].count(MemberState.DEAD) == 2
+
+
+def test_heartbeat_of_an_earlier_start_is_ignored() -> None:
     b = Membership("b", MEMBERS, 0.1)
-    b.heard("a", 7, Beat(3, (), (), (), ()), 10.0)
-    assert not b.heard("a", 6, Beat(9, (), ("east",), (), ()), 11.0)
-    assert b.others["a"].direct == 10.0
-
-
-def test_plan_prefers_then_spreads_and_does_not_move_without_need() -> None:
-    places = tuple(e.Place(n, p) for n, p in (("p", ("b",)), ("q", ()), ("r", ())))
-    everybody = {p.name: {"a", "b", "c"} for p in places}
-    orders = ranking(places, MEMBERS, everybody, {})
-    assert orders["p"][0] == "b" and {orders[n][0] for n in "pqr"} == {"a", "b", "c"}
-    without = {p.name: {"a", "c"} for p in places}
-    moved = ranking(places, MEMBERS, without, {"p": "b", "q": "a", "r": "c"})
+    b.on_heartbeat("a", 7, Beat(3, (), (), (), ()), 10.0)
+    assert not b.on_heartbeat("a", 6, Beat(9, (), ("east",), (), ()), 11.0)
+    assert b.others["a"].last_heartbeat_at == 10.0
+
+
+def test_ranking_prefers_then_spreads_and_does_not_move_without_need() -> None:
+    addresses = tuple(
+        events.ServiceAddress(name, entry) for name, entry in (("p", ("b",)), ("q", ()), ("r", ()))
+    )
+    all_able = {entry.name: {"a", "b", "c"} for entry in addresses}
+    rankings = rank_instances(addresses, MEMBERS, all_able, {})
+    assert rankings["p"][0] == "b" and {rankings[name][0] for name in "pqr"} == {"a", "b", "c"}
+    without_b = {entry.name: {"a", "c"} for entry in addresses}
+    moved = rank_instances(addresses, MEMBERS, without_b, {"p": "b", "q": "a", "r": "c"})
     assert moved["q"][0] == "a" and moved["r"][0] == "c" and moved["p"][0] in "ac"
-    piled = ranking(places, MEMBERS, everybody, dict.fromkeys("pqr", "a"))
-    assert piled["p"][0] == "b" and piled["q"][0] == "a" and piled["r"][0] == "c"
-    assert ranking(places, MEMBERS, {n: set() for n in "pqr"}, {})["p"] == ()
+    all_held_by_a = rank_instances(addresses, MEMBERS, all_able, dict.fromkeys("pqr", "a"))
+    assert all_held_by_a["p"][0] == "b" and all_held_by_a["q"][0] == "a" and all_held_by_a["r"][0] == "c"
+    assert rank_instances(addresses, MEMBERS, {name: set() for name in "pqr"}, {})["p"] == ()
 
 
 @settings(derandomize=True, max_examples=200)
-@given(st.lists(st.tuples(st.integers(1, 3), st.integers(1, 2 * WIDTH)), max_size=200))
-def test_window_takes_nothing_twice_and_nothing_of_an_earlier_life(packets: list[tuple[int, int]]) -> None:
-    window, taken, newest = Window(), set(), 0
-    for boot, number in packets:
+@given(st.lists(st.tuples(st.integers(1, 3), st.integers(1, 2 * WINDOW_DATAGRAMS)), max_size=200))
+def test_replay_window_accepts_nothing_twice_and_nothing_of_an_earlier_start(
+    datagrams: list[tuple[int, int]],
+) -> None:
+    window, accepted, latest_boot = ReplayWindow(), set(), 0
+    for boot, number in datagrams:
         if window.accept(boot, number):
-            assert (boot, number) not in taken and boot >= newest
-            taken.add((boot, number))
-            newest = max(newest, boot)
-        elif boot == newest and (boot, number) not in taken:
-            assert number <= window.highest - WIDTH, "a late one inside of the window is refused"
+            assert (boot, number) not in accepted and boot >= latest_boot
+            accepted.add((boot, number))
+            latest_boot = max(latest_boot, boot)
+        elif boot == latest_boot and (boot, number) not in accepted:
+            assert number <= window.highest - WINDOW_DATAGRAMS, "a number inside of the window was refused"
--- a/tests/test_address_gate.py
+++ b/tests/test_address_gate.py
@@ -1,4 +1,4 @@
-"""Fencing and withdrawal on real connections: the look before each step, and what is in hand."""
+"""Fencing and planned withdrawal on real connections: the lease check before each step, pending requests."""
 
 import asyncio
 from collections.abc import Iterator
@@ -11,8 +11,8 @@
 from wickgw.net.listen import listening
 
 
-class Served:
-    """A scene whose clients come by an address that moves; its lease's clock is turned by hand."""
+class ServedAddress:
+    """A scene whose clients connect to a service address. The test sets the clock of its lease."""
 
     def __init__(self) -> None:
         self.scene, self.now = Scene(), 100.0
@@ -24,9 +24,11 @@
         self.listener = asyncio.run_coroutine_threadsafe(listen(), self.scene.loop).result(PATIENCE)
         self.scene.where = self.listener.where
 
-    def call(self, what: str, *args: object) -> object:
+    def call(self, method: str, *args: object) -> object:
+        """Call a method of the node's `Clients` with the gate and `args`, on the scene's loop."""
+
         async def run() -> object:
-            return getattr(self.scene.node.clients, what)(self.gate, *args)
+            return getattr(self.scene.node.clients, method)(self.gate, *args)
 
         return asyncio.run_coroutine_threadsafe(run(), self.scene.loop).result(PATIENCE)
 
@@ -36,66 +38,73 @@
 
 
 @pytest.fixture
-def served() -> Iterator[Served]:
-    served = Served()
+def served() -> Iterator[ServedAddress]:
+    served = ServedAddress()
     yield served
     served.close()
 
 
-def test_lease_that_ended_between_taking_and_answering_fences_the_answer(served: Served) -> None:
+def test_answer_is_fenced_if_the_lease_expired_after_the_request_was_taken(served: ServedAddress) -> None:
     served.scene.play("a send job 1\nw0 gets 1")
-    served.now = 101.0  # a stall: no timer has run
+    served.now = 101.0  # as after a stall: no timer has fired
     served.scene.play("w0 send serve 1\na expect end\nnode wait fenced 1\nnode wait owed 0")
 
 
-def test_connection_accepted_too_late_is_reset_unheard(served: Served) -> None:
+def test_connection_accepted_after_the_lease_is_reset(served: ServedAddress) -> None:
     served.now = 101.0
     served.scene.play("a open\na expect end\nnode wait fenced.connections 1")
 
 
-def test_request_on_a_kept_connection_is_not_taken_after_the_lease(served: Served) -> None:
+def test_request_on_a_kept_connection_is_not_taken_after_the_lease(served: ServedAddress) -> None:
     served.scene.play("a send job 1\nw0 send serve 1\na expect made")
     served.now = 101.0
     served.scene.play("a send job 2\na expect end\nnode wait fenced 1")
     assert served.scene.node.dispatcher.counters["taken"] == 1
 
 
-def test_last_call_answers_before_the_end_and_nothing_that_may_have_run_is_refused(served: Served) -> None:
+def test_hurried_request_that_may_have_run_is_answered_in_time_and_not_refused(
+    served: ServedAddress,
+) -> None:
     served.scene.play("a send job 1 once\nw0 gets 1\nw0 send take\nw0 send event started 1")
     served.gate.hurried = True
     served.call("hurry", 0.05)
     served.scene.play("a expect HTTP/1.1 502\nnode wait hurried 1\nnode wait owed 0\nw0 expect end")
 
 
-def test_last_call_refuses_at_once_what_has_not_begun_and_cannot_end(served: Served) -> None:
-    """Held for a worker that is busy with another: it never ran, so a refusal is true."""
+def test_hurried_request_that_has_not_started_is_refused_at_once(served: ServedAddress) -> None:
+    """The second request waits for a worker that is busy with the first. It has not run, so it may be refused
+    with 503."""
     served.scene.play("a send job 1 look\nw0 gets 1\nb send job 2 look\nnode wait owed 2")
     served.call("hurry", 0.05)
     served.scene.play("b expect HTTP/1.1 503.*Retry-After\nnode wait hurried 2")
 
 
-def test_request_taken_in_the_last_call_is_given_no_longer_than_the_lease(served: Served) -> None:
+def test_request_taken_shortly_before_the_end_of_the_lease_has_no_longer_than_the_lease(
+    served: ServedAddress,
+) -> None:
     served.gate.hurried, served.now = True, 100.9
     served.scene.play("a send job 1 once 3000\na expect HTTP/1.1 50[23]\nnode wait owed 0")
 
 
-def test_planned_move_answers_what_is_in_hand_and_takes_nothing_more(served: Served) -> None:
+def test_planned_handover_answers_pending_requests_and_takes_no_new_ones(served: ServedAddress) -> None:
     served.scene.play("a send job 1\nw0 gets 1\nb open\nnode wait client_connections 2")
     assert served.call("settle") is True
     served.scene.play("b expect end")
     served.gate.finish(200.0)
-    served.now = 150.0  # long after the lease: by agreement
+    served.now = 150.0  # long after the lease, as agreed with the successor
     served.scene.play("w0 send serve 1\na expect 200 OK.*Connection: close.*made\na expect end")
 
 
-def test_settling_waits_for_a_request_that_lies_unread_or_half_read(served: Served) -> None:
+def test_settling_waits_for_a_request_that_is_unread_or_partly_read(served: ServedAddress) -> None:
     served.scene.play('a send raw "POST /look HTTP/1.1~"\na open\nnode wait connections 1')
-    while not any(c.partial for c in list(served.scene.node.clients.connections)):
+    while not any(connection.partial for connection in list(served.scene.node.clients.connections)):
         served.scene.play("node wait connections 1")
     assert served.call("settle") is False
 
 
-def test_shut_gate_cuts_every_connection_and_the_decisions_hear_of_it(served: Served) -> None:
+def test_shut_gate_closes_every_connection_and_the_balancer_drops_the_requests(
+    served: ServedAddress,
+) -> None:
     served.scene.play("a send job 1\nw0 gets 1\nb open\nnode wait client_connections 2")
     served.gate.shut()
     served.call("cut")
@@ -104,17 +113,17 @@
     assert "1" not in balancer.requests
 
 
-def test_gate_is_never_extended_once_it_finishes_or_is_shut() -> None:
+def test_gate_is_not_extended_once_it_is_finishing_or_shut() -> None:
     now = [0.0]
     gate = Gate("east", 1, 1.0, lambda: now[0])
     gate.extend(0.5)
-    assert gate.until == 1.0, "a lease never shrinks"
+    assert gate.valid_until == 1.0, "a lease was shortened"
     gate.finish(3.0)
     gate.extend(9.0)
-    assert (gate.until, gate.may_take(), gate.may_answer()) == (3.0, False, True)
+    assert (gate.valid_until, gate.may_take(), gate.may_answer()) == (3.0, False, True)
     gate.shut()
     assert not gate.may_answer()
-    late = Gate("east", 1, 1.0, lambda: now[0])
+    expired = Gate("east", 1, 1.0, lambda: now[0])
     now[0] = 1.0
-    late.finish(3.0)
-    assert late.phase is Phase.OPEN and not late.may_answer(), "finishing needs a lease that still runs"
+    expired.finish(3.0)
+    assert expired.phase is Phase.OPEN and not expired.may_answer(), "finished after the lease had expired"
--- a/tests/test_address_node.py
+++ b/tests/test_address_node.py
@@ -1,4 +1,5 @@
-"""Real processes on loopback: the short form of benchmarks/address.py, set-up errors, announcers, and off."""
+"""Dispatcher processes on loopback: a short form of benchmarks/address.py, configuration errors, announcers,
+and the feature switched off."""
 
 import json
 import os
@@ -20,8 +21,8 @@
 from wickgw.emulator.group import ADDRESS, Instances, free_port
 from wickgw.emulator.probe import Probe
 
-BOUND = 0.02  # seconds of overlap seen from outside: none but what the client takes to read
-BACK = 3.0
+MAX_OVERLAP_S = 0.02  # as seen by a client: no overlap but for the time that it takes to read
+MAX_RECOVERY_S = 3.0
 PAUSE = threading.Event()
 
 
@@ -45,115 +46,120 @@
 def test_killed_holder_is_replaced(trio: Instances, probe: Probe) -> None:
     holder, start = trio.holder(), time.monotonic()
     trio.kill(holder)
-    assert probe.wait_for(None, start, but=holder).answered - start < BACK
+    assert probe.wait_for(None, start, but=holder).answered - start < MAX_RECOVERY_S
     trio.start(holder)
-    assert probe.overlap() <= BOUND
+    assert probe.overlap() <= MAX_OVERLAP_S
 
 
 @pytest.mark.parametrize("seconds", [0.08, 3.0])
-def test_stalled_holder_answers_nothing_that_is_another_s(
+def test_stalled_holder_does_not_answer_once_another_holds_the_address(
     trio: Instances, probe: Probe, seconds: float
 ) -> None:
     holder, start = trio.holder(), time.monotonic()
     trio.stall(holder, seconds)
-    woken = time.monotonic()
-    seen = probe.wait_for(None, woken)
+    woken_at = time.monotonic()
+    seen = probe.wait_for(None, woken_at)
     assert (seen.name == holder) is (seconds < 0.5)
     if seconds > 1:
-        assert probe.wait_for(None, start, but=holder).answered - start < BACK
+        assert probe.wait_for(None, start, but=holder).answered - start < MAX_RECOVERY_S
         trio.holder(but=holder)
     PAUSE.wait(0.3)
-    assert probe.overlap() <= BOUND
+    assert probe.overlap() <= MAX_OVERLAP_S
 
 
-def test_split_leaves_the_address_to_the_majority_alone(trio: Instances, probe: Probe) -> None:
+def test_only_the_majority_serves_the_address_in_a_partition(trio: Instances, probe: Probe) -> None:
     holder, start = trio.holder(), time.monotonic()
     trio.relay.isolate(holder)
-    back = probe.wait_for(None, start, but=holder)
-    PAUSE.wait(1.0)  # both halves have had their say
-    said = trio.status(holder)
+    first_answer = probe.wait_for(None, start, but=holder)
+    PAUSE.wait(1.0)  # time for both parts to answer
+    status = trio.status(holder)
     trio.relay.mend()
-    assert back.answered - start < BACK and probe.overlap() <= BOUND
-    assert said is not None and "no majority" in said["addresses"][ADDRESS]["why"]  # type: ignore[index]
-    assert not [s for s in probe.seen if s.name == holder and s.asked > back.answered]
+    assert first_answer.answered - start < MAX_RECOVERY_S and probe.overlap() <= MAX_OVERLAP_S
+    assert status is not None and "no majority" in status["addresses"][ADDRESS]["why"]  # type: ignore[index]
+    assert not [seen for seen in probe.seen if seen.name == holder and seen.asked > first_answer.answered]
 
 
-def test_one_way_link_from_the_holder_gives_the_address_up(trio: Instances, probe: Probe) -> None:
-    """It is heard by all, and hears nobody: it must stop asking, or its voters would be bound for ever."""
+def test_holder_that_hears_no_other_instance_loses_the_address(trio: Instances, probe: Probe) -> None:
+    """All instances hear the holder, but the holder hears none of them. Unless the holder stops asking for
+    votes, its voters stay bound to it for ever."""
     holder, start = trio.holder(), time.monotonic()
     trio.relay.cut(*((other, holder) for other in trio.names if other != holder))
-    back = probe.wait_for(None, start, but=holder, patience=6)
+    first_answer = probe.wait_for(None, start, but=holder, patience=6)
     trio.relay.mend()
-    assert back.answered - start < BACK and probe.overlap() <= BOUND
+    assert first_answer.answered - start < MAX_RECOVERY_S and probe.overlap() <= MAX_OVERLAP_S
 
 
-def test_planned_move_loses_no_request_and_leaves_no_gap(trio: Instances, probe: Probe) -> None:
+def test_planned_handover_loses_no_request_and_leaves_no_gap(trio: Instances, probe: Probe) -> None:
     holder, jobs = trio.holder(), Jobs(trio.service, 4)
     PAUSE.wait(0.3)
     start = time.monotonic()
     trio.signal(holder, signal.SIGTERM)
-    back = probe.wait_for(None, start, but=holder)
+    first_answer = probe.wait_for(None, start, but=holder)
     PAUSE.wait(0.4)
     jobs.close()
     assert not jobs.lost and {status for _, status in jobs.answers} == {200}
-    assert probe.away(start, back.answered + 0.2) <= 0.1
-    runs = [count for worker in trio.workers for count in worker.runs.values()]
-    assert max(runs) == 1
+    assert probe.away(start, first_answer.answered + 0.2) <= 0.1
+    run_counts = [count for worker in trio.workers for count in worker.runs.values()]
+    assert max(run_counts) == 1
     assert trio.processes[holder].wait(10) == 0
     trio.start(holder)
 
 
-def test_wrong_key_neither_votes_nor_serves(trio: Instances) -> None:
+def test_instance_with_a_wrong_key_neither_votes_nor_serves(trio: Instances) -> None:
     trio.settled(20)
-    name = next(n for n in trio.names if n != trio.holder())
+    name = next(candidate for candidate in trio.names if candidate != trio.holder())
     trio.kill(name)
-    own = trio.folder / "wrong.key"
-    add_key(own)
-    ini = trio.folder / f"{name}.ini"
-    right = ini.read_text()
-    ini.write_text(right.replace(str(trio.key), str(own)))
+    wrong_key = trio.folder / "wrong.key"
+    add_key(wrong_key)
+    ini_path = trio.folder / f"{name}.ini"
+    valid_text = ini_path.read_text()
+    ini_path.write_text(valid_text.replace(str(trio.key), str(wrong_key)))
     trio.start(name)
-    end = time.monotonic() + 10
-    while not (said := trio.status(name)) or not said["wire"].get("dropped.unknown-key"):  # type: ignore[attr-defined]
-        assert time.monotonic() < end
-    assert all(m["state"] == "dead" for m in said["members"].values())  # type: ignore[attr-defined]
-    ini.write_text(right)
-    trio.signal(name, signal.SIGHUP)  # the right key is taken by a reload
+    deadline = time.monotonic() + 10
+    while not (status := trio.status(name)) or not status["wire"].get("dropped.unknown-key"):  # type: ignore[attr-defined]
+        assert time.monotonic() < deadline
+    assert all(member["state"] == "dead" for member in status["members"].values())  # type: ignore[attr-defined]
+    ini_path.write_text(valid_text)
+    trio.signal(name, signal.SIGHUP)  # the reload applies the right key
     trio.settled(20)
 
 
-def test_reload_takes_preferences_and_says_what_it_does_not_take(trio: Instances) -> None:
+def test_reload_reports_the_settings_that_it_does_not_apply(trio: Instances) -> None:
     holder = trio.settled(20)
-    ini = trio.folder / f"{holder}.ini"
-    before = ini.read_text()
-    ini.write_text(before.replace("hold_down_s = 1", "hold_down_s = 2\nbeat_ms = 120"))
+    ini_path = trio.folder / f"{holder}.ini"
+    text = ini_path.read_text()
+    ini_path.write_text(text.replace("hold_down_s = 1", "hold_down_s = 2\nbeat_ms = 120"))
     trio.signal(holder, signal.SIGHUP)
-    end, log = time.monotonic() + 10, trio.folder / f"{holder}.log"
-    while "address.reloaded" not in log.read_text():
-        assert time.monotonic() < end
-    line = next(x for x in log.read_text().splitlines() if "address.reloaded" in x and "beat_ms" in x)
+    deadline, log_path = time.monotonic() + 10, trio.folder / f"{holder}.log"
+    while "address.reloaded" not in log_path.read_text():
+        assert time.monotonic() < deadline
+    line = next(
+        entry
+        for entry in log_path.read_text().splitlines()
+        if "address.reloaded" in entry and "beat_ms" in entry
+    )
     assert 'not_taken="[address] beat_ms"' in line
-    ini.write_text(before)
+    ini_path.write_text(text)
 
 
-def test_address_in_use_goes_to_another_and_the_status_says_why(tmp_path: Path) -> None:
+def test_status_says_that_the_address_is_in_use_and_an_instance_takes_it_later(tmp_path: Path) -> None:
     instances = Instances(tmp_path)
     try:
-        with socket.create_server(instances.service):  # without SO_REUSEPORT: nobody else can bind
+        with socket.create_server(instances.service):  # without SO_REUSEPORT: no instance can bind
             instances.start()
-            end = time.monotonic() + 20
+            deadline = time.monotonic() + 20
             while True:
-                said = [instances.status(name) for name in instances.names]
-                whys = [s["addresses"][ADDRESS]["why"] for s in said if s]  # type: ignore[index]
-                if any("Address already in use" in why for why in whys):
+                statuses = [instances.status(name) for name in instances.names]
+                reasons = [status["addresses"][ADDRESS]["why"] for status in statuses if status]  # type: ignore[index]
+                if any("Address already in use" in reason for reason in reasons):
                     break
-                assert time.monotonic() < end, whys
+                assert time.monotonic() < deadline, reasons
         assert instances.holder(40)
     finally:
         instances.close()
 
 
-PROGRAM = """#!/bin/sh
+ANNOUNCER_SCRIPT = """#!/bin/sh
 echo "$@" >> {folder}/calls
 [ "$1" = add ] && [ -e {folder}/fail ] && {{ echo no such network >&2; exit 3; }}
 [ "$1" = add ] && [ -e {folder}/hang ] && exec {python} -c 'import signal; signal.pause()'
@@ -161,9 +167,9 @@
 """
 
 
-def test_program_announces_and_its_failure_or_silence_means_not_held(tmp_path: Path) -> None:
+def test_announcer_program_that_fails_or_times_out_keeps_the_address_from_being_held(tmp_path: Path) -> None:
     program = tmp_path / "move"
-    program.write_text(PROGRAM.format(folder=tmp_path, python=sys.executable))
+    program.write_text(ANNOUNCER_SCRIPT.format(folder=tmp_path, python=sys.executable))
     program.chmod(program.stat().st_mode | stat.S_IXUSR)
     extra = f"announce = program\nprogram = {program}\nprogram_timeout_ms = 300"
     instances = Instances(tmp_path, service_extra=extra)
@@ -173,9 +179,9 @@
         logs = [tmp_path / f"{name}.log" for name in instances.names]
 
         def wait_for(text: str) -> None:
-            end = time.monotonic() + 20
+            deadline = time.monotonic() + 20
             while not any(text in log.read_text() for log in logs if log.exists()):
-                assert time.monotonic() < end, text
+                assert time.monotonic() < deadline, text
 
         wait_for("ended with 3: no such network")
         (tmp_path / "fail").rename(tmp_path / "hang")
@@ -193,24 +199,27 @@
         instances.close()
 
 
-def ini(path: Path, text: str) -> str:
+def run_check(path: Path, text: str) -> str:
+    """Write the INI file and its key file, run `wickgw check`, and return its output or its error line."""
     add_key(path.with_suffix(".key"))
     text = text.replace("KEY", str(path.with_suffix(".key")))
     path.write_text(text)
     config = path.with_suffix(".json")
     config.write_text(json.dumps(VALID_CONFIG))
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "wickgw", "check", "--ini", str(path)],
         env=os.environ | {"RELAY_CONFIG": str(config)},
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert done.returncode in (0, 2) and (done.returncode == 0 or done.stderr.count("\n") == 1), done.stderr
-    return done.stderr or done.stdout
+    assert completed.returncode in (0, 2) and (
+        completed.returncode == 0 or completed.stderr.count("\n") == 1
+    ), completed.stderr
+    return completed.stderr or completed.stdout
 
 
-FINE = """[address]
+VALID_INI = """[address]
 enabled = yes
 members = n0=127.0.0.1:7401 n1=127.0.0.1:7402 n2=127.0.0.1:7403
 key_file = KEY
@@ -220,12 +229,12 @@
 """
 
 
-def test_check_reads_the_file_as_serve_would(tmp_path: Path) -> None:
-    assert "labels at 127.0.0.1:8080, preferred by n1" in ini(tmp_path / "w.ini", FINE)
+def test_check_prints_the_addresses_of_a_valid_file(tmp_path: Path) -> None:
+    assert "labels at 127.0.0.1:8080, preferred by n1" in run_check(tmp_path / "w.ini", VALID_INI)
 
 
 @pytest.mark.parametrize(
-    "old, new, words",
+    "old, new, phrases",
     [
         ("enabled = yes", "enabled = perhaps", ("[address] enabled: 'perhaps' read",)),
         (" n2=127.0.0.1:7403", "", ("[address] members:", "at least 3")),
@@ -243,101 +252,105 @@
         ("prefer = n1", "at = 127.0.0.1:1", ("option 'at' in section", "already exists")),
     ],
 )
-def test_file_that_will_not_do_is_one_line_with_file_section_key_and_what_is_allowed(
-    old: str, new: str, words: tuple[str, ...], tmp_path: Path
+def test_invalid_file_is_reported_in_one_line_with_section_key_and_allowed_values(
+    old: str, new: str, phrases: tuple[str, ...], tmp_path: Path
 ) -> None:
-    assert old in FINE
-    told = ini(tmp_path / "w.ini", FINE.replace(old, new))
-    assert told.startswith("wickgw: ") and "w.ini" in told
-    assert all(word in told for word in words), told
+    assert old in VALID_INI
+    message = run_check(tmp_path / "w.ini", VALID_INI.replace(old, new))
+    assert message.startswith("wickgw: ") and "w.ini" in message
+    assert all(phrase in message for phrase in phrases), message
 
 
 @pytest.mark.parametrize(
-    "change, word",
+    "change, phrase",
     [
         (lambda text, path: text.replace("n0=", "n7="), "'n0' read; one of the members"),
         (lambda text, path: text.replace("KEY", "/nonexistent/key"), "No such file"),
         (lambda text, path: text.replace("n0=127.0.0.1:7401", f"n0=127.0.0.1:{path}"), "in use"),
     ],
 )
-def test_set_up_that_cannot_start_is_one_line_and_exit_2(change, word: str, tmp_path: Path) -> None:  # type: ignore[no-untyped-def]
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
-        taken.bind(("127.0.0.1", 0))
+def test_serve_that_cannot_start_prints_one_line_and_exits_with_2(  # type: ignore[no-untyped-def]
+    change, phrase: str, tmp_path: Path
+) -> None:
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as bound_socket:
+        bound_socket.bind(("127.0.0.1", 0))
         path = tmp_path / "w.ini"
         add_key(path.with_suffix(".key"))
-        text = change(FINE, taken.getsockname()[1]).replace("KEY", str(path.with_suffix(".key")))
+        text = change(VALID_INI, bound_socket.getsockname()[1]).replace("KEY", str(path.with_suffix(".key")))
         path.write_text(text)
         (tmp_path / "c.json").write_text(json.dumps(VALID_CONFIG))
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "wickgw", "serve", "--ini", str(path)],
             env=os.environ | {"RELAY_CONFIG": str(tmp_path / "c.json")},
             capture_output=True,
             text=True,
             timeout=60,
         )
-    lines = [line for line in done.stderr.splitlines() if line.startswith("wickgw: ")]
-    assert done.returncode == 2 and len(lines) == 1 and word in lines[0], done.stderr
+    lines = [line for line in completed.stderr.splitlines() if line.startswith("wickgw: ")]
+    assert completed.returncode == 2 and len(lines) == 1 and phrase in lines[0], completed.stderr
 
 
-def test_off_costs_nothing() -> None:
-    """Neither the subsystem nor the schema is imported where no section turns it on."""
+def test_disabled_feature_is_not_imported() -> None:
+    """Without a section that enables it, neither the package nor the schema of the INI file is imported."""
     code = """
 import sys
 import wickgw.cli, wickgw.node
 from wickgw.config.ini import read_ini
 assert read_ini(None) is None
-off = ("wickgw.address", "wickgw.emulator", "wickgw.routing", "pydantic")
-bad = [name for name in sys.modules if name.startswith(off)]
-assert not bad, bad
+unused = ("wickgw.address", "wickgw.emulator", "wickgw.routing", "pydantic")
+imported = [name for name in sys.modules if name.startswith(unused)]
+assert not imported, imported
 """
     root = Path(__file__).parent.parent
     subprocess.run([sys.executable, "-c", code], check=True, cwd=root, timeout=60)
 
 
-def test_status_command_tells_and_fails_plainly(trio: Instances) -> None:
+def test_status_command_prints_the_status_or_one_error_line(trio: Instances) -> None:
     holder = trio.settled(20)
 
-    def status(at: str, *more: str) -> "subprocess.CompletedProcess[str]":
-        command = [sys.executable, "-m", "wickgw", "address", "status", "--at", at, *more]
+    def status(endpoint: str, *more_options: str) -> "subprocess.CompletedProcess[str]":
+        command = [sys.executable, "-m", "wickgw", "address", "status", "--at", endpoint, *more_options]
         return subprocess.run(command, capture_output=True, text=True, timeout=60)
 
-    where = "{}:{}".format(*trio.own[holder])
-    assert f"{ADDRESS}: held, lease for" in status(where).stdout
-    assert json.loads(status(where, "--json").stdout)["me"] == holder
+    holder_endpoint = "{}:{}".format(*trio.own[holder])
+    assert f"{ADDRESS}: held, lease for" in status(holder_endpoint).stdout
+    assert json.loads(status(holder_endpoint, "--json").stdout)["me"] == holder
     assert status("nowhere").returncode == 2
-    gone = status(f"127.0.0.1:{free_port(socket.SOCK_STREAM)}")
-    assert gone.returncode == 1 and gone.stderr.count("\n") == 1
+    unreachable = status(f"127.0.0.1:{free_port(socket.SOCK_STREAM)}")
+    assert unreachable.returncode == 1 and unreachable.stderr.count("\n") == 1
 
 
-def test_state_file_spares_a_restart_its_quiet_time_and_its_loss_is_survived(tmp_path: Path) -> None:
+def test_restart_with_a_state_file_votes_at_once_and_an_unwritable_file_is_survived(tmp_path: Path) -> None:
     instances = Instances(tmp_path)
     for name in instances.names:
-        ini = tmp_path / f"{name}.ini"
-        where = tmp_path / f"{name}.votes" if name != "c" else tmp_path / "none" / "votes"
-        ini.write_text(ini.read_text().replace("hold_down_s", f"state_file = {where}\nhold_down_s"))
+        ini_path = tmp_path / f"{name}.ini"
+        state_file = tmp_path / f"{name}.votes" if name != "c" else tmp_path / "none" / "votes"
+        ini_path.write_text(
+            ini_path.read_text().replace("hold_down_s", f"state_file = {state_file}\nhold_down_s")
+        )
     try:
         instances.start()
         holder = instances.settled(20)
         voter = next(name for name in "ab" if name != holder)
         assert "state.unknown" in (tmp_path / f"{voter}.log").read_text()
-        # The other two are a majority: this one may have been quiet still, and have nothing to find again.
-        end = time.monotonic() + 20
+        # The other two form a majority, so this voter may still be quiet and have no votes to read back.
+        deadline = time.monotonic() + 20
         while not (tmp_path / f"{voter}.votes").exists():
-            assert time.monotonic() < end
+            assert time.monotonic() < deadline
         instances.kill(voter)
         instances.start(voter)
-        end, log = time.monotonic() + 20, tmp_path / f"{voter}.log"
-        while log.read_text().count("group.began") < 2:
-            assert time.monotonic() < end
-        lines = [line for line in log.read_text().splitlines() if "group.began" in line]
+        deadline, log_path = time.monotonic() + 20, tmp_path / f"{voter}.log"
+        while log_path.read_text().count("group.began") < 2:
+            assert time.monotonic() < deadline
+        lines = [line for line in log_path.read_text().splitlines() if "group.began" in line]
         assert "quiet_s=1.01" in lines[0] and "quiet_s=0.0" in lines[1]
         assert instances.holder() == holder
-        # c can't write its votes: it must say so, go on without a file, and still make a majority.
+        # c can't write its votes: it must log that, go on without a file, and still count for the majority.
         if holder != "c":
             instances.kill(holder)
             instances.holder(20, but=holder)
-        end = time.monotonic() + 20
+        deadline = time.monotonic() + 20
         while "state.failed" not in (tmp_path / "c.log").read_text():
-            assert time.monotonic() < end
+            assert time.monotonic() < deadline
     finally:
         instances.close()
--- a/tests/test_address_wire.py
+++ b/tests/test_address_wire.py
@@ -1,4 +1,4 @@
-"""Datagrams, keys and the state file: what is believed, and what is dropped and counted."""
+"""Datagrams, the key file and the state file: what is accepted, and what is rejected and counted."""
 
 import itertools
 import os
@@ -8,133 +8,139 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickgw.address.events import Kept
+from wickgw.address.events import StoredVote
 from wickgw.address.keys import KeyFileError, Keys, add_key, read_keys
 from wickgw.address.messages import Ask, Beat, Grant
-from wickgw.address.store import Store
-from wickgw.address.wire import MOST, Wire
+from wickgw.address.store import VoteStore
+from wickgw.address.wire import MAX_DATAGRAM_BYTES, DatagramCodec
 
-ONE, TWO = Keys(b"0001", {b"0001": b"x" * 32}), Keys(b"0002", {b"0002": b"y" * 32})
-BOTH = Keys(b"0002", TWO.secrets | ONE.secrets)
-BEAT = Beat(0, (), (), (), ())
+OLD_KEY, NEW_KEY = Keys(b"0001", {b"0001": b"x" * 32}), Keys(b"0002", {b"0002": b"y" * 32})
+BOTH_KEYS = Keys(b"0002", NEW_KEY.secrets | OLD_KEY.secrets)
+HEARTBEAT = Beat(0, (), (), (), ())
 MEMBERS = ("a", "b", "c")
 
 
-def wire(me: str, boot: int = 10, keys: Keys = ONE, group: str = "g") -> Wire:
-    return Wire(group, me, boot, MEMBERS, keys)
+def make_codec(instance: str, boot: int = 10, keys: Keys = OLD_KEY, group: str = "g") -> DatagramCodec:
+    return DatagramCodec(group, instance, boot, MEMBERS, keys)
 
 
-def test_what_one_says_another_hears_once() -> None:
-    a, b = wire("a"), wire("b", 20)
-    beat = a.seal("b", BEAT)
-    assert (got := b.open(beat)) is not None and (got.sender, got.message) == ("a", BEAT)
-    assert b.open(beat) is None and b.counted["dropped.replayed"] == 1
-    a.open(b.seal("a", BEAT))
-    ask = a.seal("b", Ask("east", 1, 1))
-    assert b.open(ask) is not None
+def test_datagram_is_accepted_once() -> None:
+    a, b = make_codec("a"), make_codec("b", 20)
+    heartbeat = a.encode("b", HEARTBEAT)
+    assert (datagram := b.decode(heartbeat)) is not None and (datagram.sender, datagram.message) == (
+        "a",
+        HEARTBEAT,
+    )
+    assert b.decode(heartbeat) is None and b.counters["dropped.replayed"] == 1
+    a.decode(b.encode("a", HEARTBEAT))
+    ask = a.encode("b", Ask("east", 1, 1))
+    assert b.decode(ask) is not None
 
 
 @pytest.mark.parametrize(
-    "data, why",
+    "data, reason",
     [
-        (wire("a", keys=TWO).seal("b", BEAT), "unknown-key"),
-        (wire("a", keys=Keys(b"0001", {b"0001": b"z" * 32})).seal("b", BEAT), "unsealed"),
-        (wire("a").seal("c", BEAT), "not-for-us"),
-        (wire("a", group="other").seal("b", BEAT), "not-for-us"),
-        (wire("a").seal("b", Grant("east", 1, 1, 20)), "earlier-life"),
+        (make_codec("a", keys=NEW_KEY).encode("b", HEARTBEAT), "unknown-key"),
+        (make_codec("a", keys=Keys(b"0001", {b"0001": b"z" * 32})).encode("b", HEARTBEAT), "unsealed"),
+        (make_codec("a").encode("c", HEARTBEAT), "not-for-us"),
+        (make_codec("a", group="other").encode("b", HEARTBEAT), "not-for-us"),
+        (make_codec("a").encode("b", Grant("east", 1, 1, 20)), "earlier-life"),
         (b"", "malformed"),
-        (b"x" * MOST * 2, "malformed"),
+        (b"x" * MAX_DATAGRAM_BYTES * 2, "malformed"),
         (b"WA1" + b"0" * 40, "unknown-key"),
     ],
 )
-def test_what_may_not_be_believed_is_dropped_and_counted(data: bytes, why: str) -> None:
-    b = wire("b", 20)
-    assert b.open(data) is None and b.counted == {f"dropped.{why}": 1}
+def test_invalid_datagram_is_dropped_and_counted(data: bytes, reason: str) -> None:
+    b = make_codec("b", 20)
+    assert b.decode(data) is None and b.counters == {f"dropped.{reason}": 1}
 
 
-def test_datagram_of_an_earlier_life_is_dropped_once_the_next_is_known() -> None:
-    before, after, b = wire("a", 10), wire("a", 11), wire("b", 20)
-    old = before.seal("b", BEAT)
-    assert b.open(after.seal("b", BEAT)) is not None
-    assert b.open(old) is None and b.counted["dropped.earlier-life"] == 1
+def test_datagram_of_an_earlier_start_is_dropped_once_a_later_one_is_known() -> None:
+    before, after, b = make_codec("a", 10), make_codec("a", 11), make_codec("b", 20)
+    old = before.encode("b", HEARTBEAT)
+    assert b.decode(after.encode("b", HEARTBEAT)) is not None
+    assert b.decode(old) is None and b.counters["dropped.earlier-life"] == 1
 
 
-def test_restarted_receiver_believes_no_vote_from_before() -> None:
-    a, b = wire("a"), wire("b", 20)
-    a.open(b.seal("a", BEAT))
-    asked = a.seal("b", Ask("east", 1, 1))
-    reborn = wire("b", 21)
-    assert reborn.open(asked) is None and reborn.counted["dropped.earlier-life"] == 1
+def test_restarted_receiver_drops_a_message_to_its_earlier_start() -> None:
+    a, b = make_codec("a"), make_codec("b", 20)
+    a.decode(b.encode("a", HEARTBEAT))
+    ask = a.encode("b", Ask("east", 1, 1))
+    restarted = make_codec("b", 21)
+    assert restarted.decode(ask) is None and restarted.counters["dropped.earlier-life"] == 1
 
 
-def test_keys_change_without_a_gap() -> None:
-    """On all: the new one second; then first; then alone. At each step both sides open the other's."""
-    steps = [ONE, Keys(b"0001", BOTH.secrets), BOTH, TWO]
+def test_key_is_replaced_without_dropping_datagrams() -> None:
+    """The steps at all instances: add the new key second, make it first, remove the old key. Instances that
+    are one step apart accept each other's datagrams."""
+    steps = [OLD_KEY, Keys(b"0001", BOTH_KEYS.secrets), BOTH_KEYS, NEW_KEY]
     for old, new in itertools.pairwise(steps):
-        a, b = wire("a", keys=old), wire("b", 20, keys=new)
-        assert b.open(a.seal("b", BEAT)) is not None and a.open(b.seal("a", BEAT)) is not None
+        a, b = make_codec("a", keys=old), make_codec("b", 20, keys=new)
+        assert (
+            b.decode(a.encode("b", HEARTBEAT)) is not None and a.decode(b.encode("a", HEARTBEAT)) is not None
+        )
 
 
 @settings(derandomize=True, max_examples=300)
 @given(st.data())
-def test_no_damage_to_a_datagram_is_believed(data: st.DataObject) -> None:
-    whole = bytearray(wire("a").seal("b", BEAT))
-    at = data.draw(st.integers(0, len(whole) - 1))
-    whole[at] ^= data.draw(st.integers(1, 255))
-    b = wire("b", 20)
-    assert b.open(bytes(whole)) is None and sum(b.counted.values()) == 1
-    cut = bytes(whole[: data.draw(st.integers(0, len(whole) - 1))])
-    assert b.open(cut) is None
+def test_damaged_datagram_is_dropped(data: st.DataObject) -> None:
+    datagram = bytearray(make_codec("a").encode("b", HEARTBEAT))
+    index = data.draw(st.integers(0, len(datagram) - 1))
+    datagram[index] ^= data.draw(st.integers(1, 255))
+    b = make_codec("b", 20)
+    assert b.decode(bytes(datagram)) is None and sum(b.counters.values()) == 1
+    truncated = bytes(datagram[: data.draw(st.integers(0, len(datagram) - 1))])
+    assert b.decode(truncated) is None
 
 
 @settings(derandomize=True, max_examples=200)
 @given(st.binary(max_size=200))
-def test_sealed_nonsense_is_malformed_and_ends_nothing(body: bytes) -> None:
-    a, b = wire("a"), wire("b", 20)
-    assert b.open(b"WA1" + b"0001" + a._seal(b"0001", body) + body) is None
-    assert b.counted.total() == 1
+def test_authenticated_garbage_is_dropped_without_an_exception(body: bytes) -> None:
+    a, b = make_codec("a"), make_codec("b", 20)
+    assert b.decode(b"WA1" + b"0001" + a._mac(b"0001", body) + body) is None
+    assert b.counters.total() == 1
 
 
-def test_key_file_is_made_private_and_extended_once(tmp_path: Path) -> None:
+def test_key_file_is_created_private_and_extended_once(tmp_path: Path) -> None:
     path = tmp_path / "key"
     first, count = add_key(path)
     assert count == 1 and path.stat().st_mode & 0o777 == 0o600
     second, _ = add_key(path)
     keys = read_keys(path)
-    assert keys.first == first.encode() and set(keys.secrets) == {first.encode(), second.encode()}
+    assert keys.signing_key == first.encode() and set(keys.secrets) == {first.encode(), second.encode()}
     assert not any(secret.hex() in repr(keys) for secret in keys.secrets.values())
     with pytest.raises(KeyFileError, match="2 keys already"):
         add_key(path)
 
 
 @pytest.mark.parametrize(
-    "text, mode, word",
+    "text, mode, message",
     [
         ("0001 " + "a" * 64, 0o644, "600 or 400 allowed"),
         ("0001 " + "a" * 63, 0o600, "64 hexadecimal"),
         ("", 0o600, "0 keys read"),
         (("0001 " + "a" * 64 + "\n") * 2, 0o600, "twice"),
-        ("\n".join(f"000{n} " + "a" * 64 for n in range(3)), 0o600, "3 keys read"),
+        ("\n".join(f"000{number} " + "a" * 64 for number in range(3)), 0o600, "3 keys read"),
     ],
 )
-def test_key_file_that_will_not_do_is_named_with_what_would(
-    text: str, mode: int, word: str, tmp_path: Path
+def test_invalid_key_file_is_reported_with_its_path_and_without_its_keys(
+    text: str, mode: int, message: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "key"
     path.write_text(text)
     path.chmod(mode)
-    with pytest.raises(KeyFileError, match=word) as told:
+    with pytest.raises(KeyFileError, match=message) as raised:
         read_keys(path)
-    assert str(path) in str(told.value) and "a" * 60 not in str(told.value)
+    assert str(path) in str(raised.value) and "a" * 60 not in str(raised.value)
 
 
-def test_votes_on_the_disk_are_whole_or_not_known(tmp_path: Path) -> None:
-    store, votes = Store(tmp_path / "votes", "g", "a"), (Kept("east", 5, "b", False),)
+def test_stored_votes_are_complete_or_unknown(tmp_path: Path) -> None:
+    store, votes = VoteStore(tmp_path / "votes", "g", "a"), (StoredVote("east", 5, "b", False),)
     assert store.read() is None
     store.write(votes)
     assert store.read() == votes and os.listdir(tmp_path) == ["votes"]
-    assert Store(store.path, "g", "b").read() is None, "another instance's votes"
+    assert VoteStore(store.path, "g", "b").read() is None, "another instance's votes"
     store.path.write_bytes(store.path.read_bytes()[:-4])
     assert store.read() is None
     with pytest.raises(OSError):
-        Store(tmp_path / "none" / "votes", "g", "a").write(votes)
+        VoteStore(tmp_path / "none" / "votes", "g", "a").write(votes)
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -16,7 +16,7 @@
 def test_each_log_event_of_a_subsystem_is_on_its_page(package: str, page: str) -> None:
     files = [*(ROOT / "wickgw" / package).glob("*.py"), *(ROOT / "wickgw" / "net").glob("pools.py")]
     code = "".join(path.read_text() for path in files if package == "routing" or path.name != "pools.py")
-    logged = set(EVENT.findall(code)) - {"member.{change.new.name.lower()}"}
+    logged = set(EVENT.findall(code)) - {"member.{change.new_state.name.lower()}"}
     logged |= {"member.alive", "member.suspected", "member.dead"} if package == "address" else set()
     text = (ROOT / "docs" / "operators" / f"{page}.md").read_text()
     table = text.partition("## Log events")[2].partition("\n## ")[0]
--- a/wickgw/address/__init__.py
+++ b/wickgw/address/__init__.py
@@ -1,6 +1,7 @@
-"""Moving service addresses: a dead dispatcher's address is served again by another, and never by two.
+"""Moving service addresses: when a dispatcher fails, another one serves its address, and never two at once.
 
-`messages`, `events`, `membership`, `votes`, `plan` and `group` are the core: no I/O, clock or randomness.
-`wire` and `keys` seal datagrams, `gate` is the look before every answer, `announce` and `driver` touch the
-system, `rehearsal` plays the core in virtual time. The reasons are in docs/design/moving-address.md.
+The core does no I/O, reads no clock and draws no random numbers: `messages`, `events`, `membership`, `votes`,
+`lease`, `plan`, `replay_window` and `coordinator`. `wire` and `keys` authenticate datagrams, `store` persists
+votes, `gate` checks the lease before every answer, and `announce` and `driver` do the I/O. `simulation` runs
+the core in virtual time. The design is explained in docs/design/moving-address.md.
 """
--- a/wickgw/address/driver.py
+++ b/wickgw/address/driver.py
@@ -1,8 +1,9 @@
-"""The address group on sockets: datagrams, timers, gates, listeners and announcers around one `Group`.
+"""Runs a `Coordinator` on an event loop: datagrams, the timer, gates, listeners and announcers.
 
-Owns the UDP socket, the one timer, and for each address the gate, the listener and the chain of announcer
-runs. Thin on purpose: `Group` decides, this carries out. It must never open a gate for longer than the core
-said, shut one later than told, or say Withdrawn while anything new may still be taken.
+Owns the UDP socket, the one timer, and for each address the gate, the listener and the queue of announcer
+runs. `Coordinator` decides, and the driver carries out its actions. Three rules keep an address from being
+served twice: a gate stays open no longer than the coordinator said, a gate is shut as soon as the coordinator
+says so, and Withdrawn is reported only when nothing new can be taken on the address.
 """
 
 import asyncio
@@ -12,13 +13,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wickgw.address import events as e
-from wickgw.address.announce import Announcer, ListenOnly, Program
-from wickgw.address.gate import SPARE, Gate, Phase
-from wickgw.address.group import Group
+from wickgw.address import events
+from wickgw.address.announce import Announcer, ListenOnlyAnnouncer, ProgramAnnouncer
+from wickgw.address.coordinator import Coordinator
+from wickgw.address.gate import ANSWER_MARGIN_S, Gate, Phase
 from wickgw.address.keys import KeyFileError, Keys, read_keys
-from wickgw.address.store import Store
-from wickgw.address.wire import MOST, Wire
+from wickgw.address.store import VoteStore
+from wickgw.address.wire import MAX_DATAGRAM_BYTES, DatagramCodec
 from wickgw.config.relay import BACKLOG_CONNECTIONS, ConfigError
 from wickgw.config.schema import AddressSettings, ServiceSettings
 from wickgw.net.clients import Clients, Listener
@@ -28,56 +29,68 @@
 from wickgw.observe import logger
 
 log = logger("wickgw.address")
-AT_ONCE = 64  # datagrams read before others get their turn
-SETTLE = 0.05  # seconds that a planned move may wait for requests that are just coming in
-LOOK = 0.002  # seconds between looks at that
+MAX_DATAGRAMS_PER_READ = 64  # before other callbacks of the loop run
+SETTLE_S = 0.05  # how long a planned handover waits for requests that are just arriving
+SETTLE_POLL_S = 0.002
 
 
 @dataclass(eq=False)
-class Service:
-    """One address here: what is open for it now."""
+class LocalAddress:
+    """One service address at this instance: its settings, and what is open for it now."""
 
     settings: ServiceSettings
-    where: tuple[str, int]
+    endpoint: tuple[str, int]
     announcer: Announcer
     gate: Gate | None = None
     listener: Listener | None = None
-    leaving: bool = False  # the gate may not be opened any further
-    last: asyncio.Task[None] | None = None  # the end of the chain of announcer runs
+    withdrawing: bool = False  # a Withdraw or Fence has come for the latest gate; don't open its listener
+    last_announcer_run: asyncio.Task[None] | None = None  # the end of the queue of announcer runs
 
 
 class Driver:
-    """One instance of the group on a loop."""
+    """One instance of the group on an event loop.
+
+    `is_ready` returns whether the dispatcher can serve jobs. Raises ConfigError if the key
+    file can't be used.
+    """
 
     def __init__(
         self,
         settings: AddressSettings,
-        me: str,
+        instance: str,
         clock: Clock,
         loop: asyncio.AbstractEventLoop,
         clients: Clients,
-        ready: Callable[[], bool],
+        is_ready: Callable[[], bool],
     ) -> None:
-        self.settings, self.me, self.clock, self.loop, self.clients = settings, me, clock, loop, clients
-        self.ready, self.able = ready, False
-        self.members = {name: socket_address(at) for name, at in settings.members.items()}
+        self.settings, self.instance, self.clock, self.loop, self.clients = (
+            settings,
+            instance,
+            clock,
+            loop,
+            clients,
+        )
+        self.is_ready, self.reported_ready = is_ready, False
+        self.member_endpoints = {name: socket_address(at) for name, at in settings.members.items()}
         boot = int((clock.now() + clock.offset) * 1e6)
-        self.core = Group(core_settings(settings, me))
-        self.wire = Wire(settings.group, me, boot, tuple(self.members), load_keys(settings))
-        self.store = Store(settings.state_file, settings.group, me) if settings.state_file else None
-        self.services = {
-            name: Service(s, socket_address(s.at), _announcer(name, s))
-            for name, s in settings.services.items()
+        self.coordinator = Coordinator(coordinator_settings(settings, instance))
+        self.codec = DatagramCodec(
+            settings.group, instance, boot, tuple(self.member_endpoints), load_keys(settings)
+        )
+        self.store = VoteStore(settings.state_file, settings.group, instance) if settings.state_file else None
+        self.local_addresses = {
+            name: LocalAddress(service, socket_address(service.at), _announcer(name, service))
+            for name, service in settings.services.items()
         }
         self.socket: socket.socket | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._finish_timers: set[asyncio.TimerHandle] = set()
 
-    # Life.
+    # Start, reload, stop.
 
     def start(self) -> None:
-        """Bind and begin. Raises ConfigError."""
-        bind = self.settings.bind or self.settings.members[self.me]
+        """Bind the UDP socket and start the coordinator. Raises ConfigError."""
+        bind = self.settings.bind or self.settings.members[self.instance]
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
         try:
             self.socket.bind(socket_address(bind))
@@ -85,27 +98,33 @@
             self.socket.close()
             self.socket = None
             raise ConfigError(f"[address] bind: {bind} read, but: {error.strerror}") from error
-        self.loop.add_reader(self.socket.fileno(), self._readable)
-        kept = self.store.read() if self.store else None
-        if self.store and kept is None:
+        self.loop.add_reader(self.socket.fileno(), self._on_readable)
+        stored_votes = self.store.read() if self.store else None
+        if self.store and stored_votes is None:
             log.info("state.unknown", file=str(self.store.path))
-        self._feed(e.Began(self.wire.boot, kept))
+        self._handle(events.Started(self.codec.boot, stored_votes))
 
     def resign(self) -> None:
-        """The process is about to end: hand over what is held here."""
+        """Hand over all addresses held here; called when the process is about to stop."""
         if self.socket is not None:
-            self._feed(e.Resign())
+            self._handle(events.Resign())
 
     @property
     def busy(self) -> bool:
-        """Something is held here, or about to be let go of."""
-        return any(s.gate is not None or (s.last and not s.last.done()) for s in self.services.values())
+        """Whether an address is open here or an announcer run has not finished."""
+        return any(
+            local.gate is not None or (local.last_announcer_run and not local.last_announcer_run.done())
+            for local in self.local_addresses.values()
+        )
 
     def reload(self, new: AddressSettings) -> list[str]:
-        """Take what can be taken: keys, preferences, hold-down, finish. Returns what can't. Raises
-        ConfigError, and then nothing is taken."""
+        """Apply what can change while running: keys, preferences, hold-down time, `finish` and `finish_ms`.
+
+        Returns the settings that differ and can't be applied before a restart. Raises ConfigError if the key
+        file can't be used; nothing is applied in that case.
+        """
         keys = load_keys(new)
-        old, fixed = self.settings, []
+        old, not_applied = self.settings, []
         for key in (
             "group",
             "members",
@@ -117,119 +136,135 @@
             "instance",
         ):
             if getattr(old, key) != getattr(new, key):
-                fixed.append(f"[address] {key}")
+                not_applied.append(f"[address] {key}")
         for name in old.services.keys() | new.services.keys():
-            a, b = old.services.get(name), new.services.get(name)
-            free = {"prefer", "finish", "finish_ms"}
-            if a is None or b is None:
-                fixed.append(f"[address:{name}]")
-            elif a.model_dump(exclude=free) != b.model_dump(exclude=free):
-                fixed.append(f"[address:{name}] all but prefer, finish and finish_ms")
-        self.wire.keys = keys
-        places = []
-        for name, service in self.services.items():
-            if fresh := new.services.get(name):
-                taken = {"prefer": fresh.prefer, "finish": fresh.finish, "finish_ms": fresh.finish_ms}
-                service.settings = service.settings.model_copy(update=taken)
-            places.append(e.Place(name, service.settings.prefer))
-        self._feed(e.Rearranged(tuple(places), new.hold_down_s))
-        kept = {name: s.settings for name, s in self.services.items()}
+            old_service, new_service = old.services.get(name), new.services.get(name)
+            reloadable = {"prefer", "finish", "finish_ms"}
+            if old_service is None or new_service is None:
+                not_applied.append(f"[address:{name}]")
+            elif old_service.model_dump(exclude=reloadable) != new_service.model_dump(exclude=reloadable):
+                not_applied.append(f"[address:{name}] all but prefer, finish and finish_ms")
+        self.codec.keys = keys
+        service_addresses = []
+        for name, local in self.local_addresses.items():
+            if reloaded := new.services.get(name):
+                changes = {
+                    "prefer": reloaded.prefer,
+                    "finish": reloaded.finish,
+                    "finish_ms": reloaded.finish_ms,
+                }
+                local.settings = local.settings.model_copy(update=changes)
+            service_addresses.append(events.ServiceAddress(name, local.settings.prefer))
+        self._handle(events.SettingsReloaded(tuple(service_addresses), new.hold_down_s))
+        services = {name: current.settings for name, current in self.local_addresses.items()}
         self.settings = old.model_copy(
-            update={"services": kept, "hold_down_s": new.hold_down_s, "key_file": new.key_file}
+            update={"services": services, "hold_down_s": new.hold_down_s, "key_file": new.key_file}
         )
-        log.info("address.reloaded", keys=len(keys.secrets), not_taken="; ".join(fixed) or "nothing")
-        return fixed
+        log.info("address.reloaded", keys=len(keys.secrets), not_taken="; ".join(not_applied) or "nothing")
+        return not_applied
 
     def close(self) -> None:
-        """Give everything back, at once."""
+        """Shut all gates and close all sockets at once, without handing over."""
         if self._timer is not None:
             self._timer.cancel()
         for timer in self._finish_timers:
             timer.cancel()
-        for service in self.services.values():
-            self._shut(service)
-            if service.last is not None:
-                service.last.cancel()
+        for local in self.local_addresses.values():
+            self._fence(local)
+            if local.last_announcer_run is not None:
+                local.last_announcer_run.cancel()
         if self.socket is not None:
             self.loop.remove_reader(self.socket.fileno())
             self.socket.close()
             self.socket = None
 
     def status(self) -> dict[str, object]:
-        """What this instance holds, knows and has counted."""
-        return self.core.status(self.clock.awake()) | {"wire": dict(sorted(self.wire.counted.items()))}
+        """Return what this instance holds, knows and has counted."""
+        return self.coordinator.status(self.clock.awake()) | {
+            "wire": dict(sorted(self.codec.counters.items()))
+        }
 
-    # Events in, actions out.
+    # Events and actions.
 
-    def _readable(self) -> None:
-        for _ in range(AT_ONCE):
+    def _on_readable(self) -> None:
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             if self.socket is None:
                 return
             try:
-                data = self.socket.recv(MOST + 1)
+                data = self.socket.recv(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError:  # a port unreachable that came back: its instance is down, and beats will tell
+            except (
+                OSError
+            ):  # ICMP port unreachable: that instance is down, which missing heartbeats will show
                 continue
-            datagram = self.wire.open(data)
+            datagram = self.codec.decode(data)
             if datagram is not None:
-                self._feed(e.Heard(datagram.sender, datagram.boot, datagram.message))
+                self._handle(events.MessageReceived(datagram.sender, datagram.boot, datagram.message))
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        if (able := self.ready()) != self.able:
-            self.able = able
-            self._feed(e.Able(able))
-        self._feed(e.Tick())
+        if (ready := self.is_ready()) != self.reported_ready:
+            self.reported_ready = ready
+            self._handle(events.ReadinessChanged(ready))
+        self._handle(events.Tick())
 
-    def _feed(self, event: e.Event) -> None:
+    def _handle(self, event: events.Event) -> None:
+        """Pass an event to the coordinator and carry out the resulting actions."""
         now = self.clock.awake()
-        for action in self.core.handle(event, now):
-            if isinstance(action, e.Keep):
-                if not self._keep(action):
+        for action in self.coordinator.handle(event, now):
+            if isinstance(action, events.PersistVotes):
+                if not self._persist(action):
                     return
             else:
-                self._run(action, now)
+                self._carry_out(action, now)
 
-    def _run(self, action: e.Action, now: float) -> None:
+    def _carry_out(self, action: events.Action, now: float) -> None:
         match action:
-            case e.Tell(to, message):
-                self._tell(to, self.wire.seal(to, message))
-            case e.Wake(at):
+            case events.SendMessage(receiver, message):
+                self._send(receiver, self.codec.encode(receiver, message))
+            case events.SetTimer(due):
                 if self._timer is not None:
                     self._timer.cancel()
-                self._timer = self.loop.call_later(max(0.0, at - now), self._tick)
-            case e.Announce(address, term, until):
-                service = self.services[address]
-                service.gate, service.leaving = Gate(address, term, until, self.clock.awake), False
-                self._chain(service, self._announce(service, service.gate))
-            case e.Extend(address, term, until):
-                if (gate := self.services[address].gate) and gate.term == term:
-                    gate.extend(until)
-            case e.LastCall(address, term, until):
-                if (gate := self.services[address].gate) and gate.term == term:
+                self._timer = self.loop.call_later(max(0.0, due - now), self._on_timer)
+            case events.Announce(name, term, lease_end):
+                local = self.local_addresses[name]
+                local.gate, local.withdrawing = (
+                    Gate(name, term, lease_end, self.clock.awake),
+                    False,
+                )
+                self._queue_announcer_run(local, self._announce(local, local.gate))
+            case events.ExtendLease(name, term, lease_end):
+                if (gate := self.local_addresses[name].gate) and gate.term == term:
+                    gate.extend(lease_end)
+            case events.HurryPending(name, term, lease_end):
+                if (gate := self.local_addresses[name].gate) and gate.term == term:
                     gate.hurried = True
-                    self.clients.hurry(gate, until - now - SPARE)
-            case e.Retire(address, term):
-                service = self.services[address]
-                service.leaving = True
-                self._chain(service, self._retire(service, term))
-            case e.Cut(address, term):
-                service = self.services[address]
-                self._shut(service)
-                self._chain(service, self._remove(service, term))
-            case e.Note(event, fields):
+                    self.clients.hurry(gate, lease_end - now - ANSWER_MARGIN_S)
+            case events.Withdraw(name, term):
+                local = self.local_addresses[name]
+                local.withdrawing = True
+                self._queue_announcer_run(local, self._withdraw(local, term))
+            case events.Fence(name, term):
+                local = self.local_addresses[name]
+                self._fence(local)
+                self._queue_announcer_run(local, self._remove_announcement(local, term))
+            case events.LogEvent(event, fields):
                 log.info(event, **fields)
 
-    def _tell(self, to: str, data: bytes) -> None:
+    def _send(self, receiver: str, data: bytes) -> None:
         if self.socket is not None:
             try:
-                self.socket.sendto(data, self.members[to])
-            except OSError:  # no buffer, or its port is closed: as good as lost
-                self.wire.counted["not sent"] += 1
+                self.socket.sendto(data, self.member_endpoints[receiver])
+            except OSError:  # no buffer, or the receiver's port is closed: the same as a lost datagram
+                self.codec.counters["not sent"] += 1
 
-    def _keep(self, action: e.Keep) -> bool:
-        """Votes are on the disk before anybody hears of them; if that fails, they are never told."""
+    def _persist(self, action: events.PersistVotes) -> bool:
+        """Write votes to disk before any message that carries them is sent.
+
+        If that fails, the state file is removed and the instance goes on without one. Returns False, and
+        closes the driver, if the old file can't be removed either.
+        """
         if self.store is None:
             return True
         try:
@@ -238,110 +273,115 @@
         except OSError as error:
             log.error("state.failed", file=str(self.store.path), error=str(error))
         try:
-            self.store.forget()
-            self.store = None  # the next start stays quiet: as safe as without a file
+            self.store.delete()
+            self.store = None  # the next start doesn't vote for one lease, as without a state file
             return True
-        except OSError as error:  # an old file would vouch for old votes: this instance must not vote
+        except OSError as error:  # a restart would read outdated votes, so this instance must not vote
             log.error("state.stuck", error=str(error))
             self.close()
             return False
 
     # Gates, listeners, announcers.
 
-    def _chain(self, service: Service, run: Coroutine[Any, Any, None]) -> None:
-        """One announcer run after the other, in the order in which they were asked for."""
-        before = service.last
+    def _queue_announcer_run(self, local: LocalAddress, run: Coroutine[Any, Any, None]) -> None:
+        """Start `run` after all earlier announcer runs of the address have finished."""
+        previous = local.last_announcer_run
 
-        async def after() -> None:
-            if before is not None:
+        async def run_after_previous() -> None:
+            if previous is not None:
                 with contextlib.suppress(Exception):
-                    await before
+                    await previous
             await run
 
-        service.last = self.loop.create_task(after())
+        local.last_announcer_run = self.loop.create_task(run_after_previous())
 
-    async def _announce(self, service: Service, gate: Gate) -> None:
-        why = await service.announcer.add(gate.term)
-        if service.gate is not gate or service.leaving:
-            return  # a Retire or Cut came meanwhile, and stands behind this in the chain
+    async def _announce(self, local: LocalAddress, gate: Gate) -> None:
+        """Announce the address, open its listener and report the result."""
+        why = await local.announcer.add(gate.term)
+        if local.gate is not gate or local.withdrawing:
+            return  # a Withdraw or Fence came meanwhile and is next in the queue
         if not why:
             try:
-                # The socket of a holder that stands still must not keep its successor from the address.
-                sock = listening(service.where, BACKLOG_CONNECTIONS, shared_port=True)
-                service.listener = Listener(self.clients, sock, gate)
+                # The port is shared: the socket of a stalled holder must not keep its successor from binding.
+                sock = listening(local.endpoint, BACKLOG_CONNECTIONS, shared_port=True)
+                local.listener = Listener(self.clients, sock, gate)
             except OSError as error:
-                why = f"{service.settings.at}: {error.strerror}"
-        self._feed(e.Announced(gate.address, gate.term, not why, why))
+                why = f"{local.settings.at}: {error.strerror}"
+        self._handle(events.AnnounceCompleted(gate.address, gate.term, not why, why))
+
+    async def _withdraw(self, local: LocalAddress, term: int) -> None:
+        """Stop taking requests and release the address.
 
-    async def _retire(self, service: Service, term: int) -> None:
-        """Take nothing more; then, in the order that the operator chose, finish and let go."""
-        gate = service.gate
+        With `finish` set to `before`, pending requests are answered before the release. With `after`, they
+        are answered after it, while the successor already serves the address.
+        """
+        gate = local.gate
         if gate is not None and gate.term == term:
-            if service.listener is not None:
-                service.listener.close(last=gate.may_take())
-                service.listener = None
-            most = service.settings.finish_ms / 1000
-            before = service.settings.finish == "before"
-            end = self.clock.awake() + (most if before else SETTLE)
-            # Requests that are just coming in are still ours, and so, before, are those in hand.
-            while gate.may_take() and self.clock.awake() < end:
+            if local.listener is not None:
+                local.listener.close(last=gate.may_take())
+                local.listener = None
+            finish_s = local.settings.finish_ms / 1000
+            before = local.settings.finish == "before"
+            deadline = self.clock.awake() + (finish_s if before else SETTLE_S)
+            # Requests that are just arriving are still served here; with `before`, wait for pending ones too.
+            while gate.may_take() and self.clock.awake() < deadline:
                 if self.clients.settle(gate) and not (before and self.clients.through(gate)):
                     break
-                await asyncio.sleep(LOOK)
-            if service.gate is gate:  # not cut meanwhile
-                service.gate = None
+                await asyncio.sleep(SETTLE_POLL_S)
+            if local.gate is gate:  # not fenced meanwhile
+                local.gate = None
                 if before:
-                    self._end(gate)
+                    self._close_gate(gate)
                 else:
-                    self._finish(gate, most)
-        await self._remove(service, term)
+                    self._finish_pending(gate, finish_s)
+        await self._remove_announcement(local, term)
 
-    def _finish(self, gate: Gate, most: float) -> None:
-        """By agreement: what is in hand is answered while the successor serves already."""
-        gate.finish(self.clock.awake() + most)
+    def _finish_pending(self, gate: Gate, finish_s: float) -> None:
+        """Answer pending requests for up to `finish_s` seconds while the successor already serves."""
+        gate.finish(self.clock.awake() + finish_s)
         if gate.phase is not Phase.FINISHING:
-            self._end(gate)
+            self._close_gate(gate)
             return
         for connection in self.clients.through(gate):
             if connection.pending is None and not connection.ending:
                 connection.fence()
-        self.clients.hurry(gate, most - SPARE)
-        timer = self.loop.call_later(most, self._end, gate)
+        self.clients.hurry(gate, finish_s - ANSWER_MARGIN_S)
+        timer = self.loop.call_later(finish_s, self._close_gate, gate)
         self._finish_timers.add(timer)
 
-    def _end(self, gate: Gate) -> None:
+    def _close_gate(self, gate: Gate) -> None:
         gate.shut()
         self.clients.cut(gate)
 
-    def _shut(self, service: Service) -> None:
-        """Now: no look at this gate says yes any more."""
-        gate, service.gate = service.gate, None
-        service.leaving = True
-        if service.listener is not None:
-            service.listener.close(last=False)
-            service.listener = None
+    def _fence(self, local: LocalAddress) -> None:
+        """Shut the gate and close the listener at once."""
+        gate, local.gate = local.gate, None
+        local.withdrawing = True
+        if local.listener is not None:
+            local.listener.close(last=False)
+            local.listener = None
         if gate is not None:
-            self._end(gate)
+            self._close_gate(gate)
 
-    async def _remove(self, service: Service, term: int) -> None:
-        name = service.settings.name
-        if why := await service.announcer.remove(term):
+    async def _remove_announcement(self, local: LocalAddress, term: int) -> None:
+        name = local.settings.name
+        if why := await local.announcer.remove(term):
             log.error("announce.not-removed", address=name, term=term, why=why)
-        self._feed(e.Withdrawn(name, term))
+        self._handle(events.Withdrawn(name, term))
 
 
 def _announcer(name: str, settings: ServiceSettings) -> Announcer:
     if settings.announce == "program":
-        return Program(settings.program, name, settings.at, settings.program_timeout_ms / 1000)
-    return ListenOnly()
+        return ProgramAnnouncer(settings.program, name, settings.at, settings.program_timeout_ms / 1000)
+    return ListenOnlyAnnouncer()
 
 
-def core_settings(settings: AddressSettings, me: str) -> e.Settings:
-    """The core's settings."""
-    return e.Settings(
-        me,
+def coordinator_settings(settings: AddressSettings, instance: str) -> events.Settings:
+    """Return the coordinator's settings for one instance."""
+    return events.Settings(
+        instance,
         tuple(settings.members),
-        tuple(e.Place(name, s.prefer) for name, s in settings.services.items()),
+        tuple(events.ServiceAddress(name, service.prefer) for name, service in settings.services.items()),
         settings.lease_ms / 1000,
         settings.clock_drift,
         settings.beat_ms / 1000,
@@ -350,7 +390,7 @@
 
 
 def load_keys(settings: AddressSettings) -> Keys:
-    """The group's keys. Raises ConfigError."""
+    """Return the group's keys. Raises ConfigError."""
     try:
         return read_keys(settings.key_file)
     except KeyFileError as error:
--- a/wickgw/address/events.py
+++ b/wickgw/address/events.py
@@ -1,7 +1,8 @@
-"""Settings, events and actions of the address group: plain frozen data, no logic.
+"""Settings, events and actions of the address coordinator: plain frozen data, no logic.
 
-All times are seconds as floats on the caller's clock, which never goes backwards, goes on while the machine
-sleeps, and runs at most `drift` too fast or too slow. The caller carries out actions in the order given.
+All times are seconds as floats on the caller's clock. That clock never goes backwards, keeps running while
+the machine sleeps, and is at most `Settings.clock_drift` too fast or too slow. The caller passes events in
+and carries out the returned actions in the given order.
 """
 
 from dataclasses import dataclass, field
@@ -11,192 +12,222 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """One service address and who should have it."""
+class ServiceAddress:
+    """One service address and the instances that should hold it."""
 
     name: str
-    prefer: tuple[str, ...] = ()  # instances, the most wanted first
+    preferred: tuple[str, ...] = ()  # instance names, the most preferred first
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What an instance is told of its group. The same on all of them, but for `me`."""
-
-    me: str
-    members: tuple[str, ...]  # all, this one counted
-    places: tuple[Place, ...]
-    lease: float = 1.0  # seconds that a vote runs, before the drift is taken off or put on
-    drift: float = 0.01  # share by which a clock may run too fast or too slow
-    beat: float = 0.1  # seconds between beats
-    hold_down: float = 10.0  # seconds for which all must be well before an address is moved back
-    last_call: float = 0.15  # seconds before the end of a lease at which requests in hand are hurried
+    """The group's settings, equal at all instances except for `instance`."""
+
+    instance: str  # the name of this instance
+    members: tuple[str, ...]  # all instances of the group, including this one
+    addresses: tuple[ServiceAddress, ...]
+    lease_s: float = 1.0  # duration of a vote before the allowance for clock drift
+    clock_drift: float = 0.01  # share by which a clock may run too fast or too slow
+    heartbeat_s: float = 0.1  # interval between heartbeats
+    hold_down_s: float = (
+        10.0  # how long all must be well before an address moves back to a preferred instance
+    )
+    last_call_s: float = 0.15  # time before the end of a lease at which pending requests are hurried
 
     @property
     def majority(self) -> int:
-        """Votes that make a lease."""
+        """Number of votes that grant a lease."""
         return len(self.members) // 2 + 1
 
     @property
-    def held_for(self) -> float:
-        """Seconds for which a holder may count on votes, from before it asked."""
-        return self.lease * (1 - self.drift)
+    def holder_lease_s(self) -> float:
+        """Seconds for which a holder may rely on votes, counted from before the request for them."""
+        return self.lease_s * (1 - self.clock_drift)
 
     @property
-    def bound_for(self) -> float:
-        """Seconds for which a voter is bound, from when it granted."""
-        return self.lease * (1 + self.drift)
+    def voter_lease_s(self) -> float:
+        """Seconds for which a vote binds its voter, counted from the grant."""
+        return self.lease_s * (1 + self.clock_drift)
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
-    """A vote as it is written to the state file: it counts as running for a whole lease when read."""
+class StoredVote:
+    """A vote as written to the state file. When read, the vote counts as binding for a whole lease."""
 
     address: str
     term: int
     holder: str
-    over: bool
+    over: bool  # the holder has released the vote
 
 
 # Events.
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
-    """The instance may act. The first event of a life."""
+class Started:
+    """The instance has started: the first event that a coordinator handles."""
 
-    boot: int  # Unix microseconds; terms begin above it, so that they grow over restarts of the whole group
-    kept: tuple[Kept, ...] | None = None  # votes of the life before; None: not known, so stay quiet a lease
+    boot: int  # Unix microseconds; terms start above it, so they keep growing when the whole group restarts
+    stored_votes: tuple[StoredVote, ...] | None = None  # None: unknown, so don't vote for one lease
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """A sealed message of another instance came."""
+class MessageReceived:
+    """An authenticated message arrived from another instance."""
 
     sender: str
-    boot: int
+    boot: int  # incarnation of the sender: Unix microseconds of its start
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """A Wake has come due."""
+    """The timer of the last SetTimer has fired."""
 
 
 @dataclass(frozen=True, slots=True)
-class Announced:
-    """What became of an Announce."""
+class AnnounceCompleted:
+    """The result of an Announce."""
 
     address: str
     term: int
-    ok: bool
-    why: str = ""
+    succeeded: bool
+    error: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """A Retire or Cut is carried out: nothing new is taken on the address here, and it is not announced."""
+    """A Withdraw or Fence is complete: the instance takes no new requests on the address and does not
+    announce the address any more."""
 
     address: str
     term: int
 
 
 @dataclass(frozen=True, slots=True)
-class Able:
-    """Whether this instance could serve jobs at all."""
+class ReadinessChanged:
+    """Whether this instance can serve jobs at all."""
 
-    yes: bool
+    ready: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Resign:
-    """The instance is about to end: hand everything over."""
+    """The instance is about to stop: hand over all its addresses."""
 
 
 @dataclass(frozen=True, slots=True)
-class Rearranged:
-    """New preferences and hold-down, from a reload."""
+class SettingsReloaded:
+    """New preferences and a new hold-down time after a configuration reload."""
 
-    places: tuple[Place, ...]
-    hold_down: float
+    addresses: tuple[ServiceAddress, ...]
+    hold_down_s: float
 
 
-Event = Began | Heard | Tick | Announced | Withdrawn | Able | Resign | Rearranged
+Event = (
+    Started
+    | MessageReceived
+    | Tick
+    | AnnounceCompleted
+    | Withdrawn
+    | ReadinessChanged
+    | Resign
+    | SettingsReloaded
+)
 
 # Actions.
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendMessage:
     """Send a message to another instance."""
 
-    to: str
+    receiver: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
-    """Write these votes durably, before any later action is carried out. Only where a state file is set."""
+class PersistVotes:
+    """Write these votes durably before carrying out any later action; ignored without a state file."""
 
-    votes: tuple[Kept, ...]
+    votes: tuple[StoredVote, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """The address is ours until then: open a gate for it, announce it, serve. Announced answers."""
+    """This instance holds the lease on the address: open a gate, announce the address and serve.
+
+    The caller answers with AnnounceCompleted.
+    """
 
     address: str
     term: int
-    until: float
+    lease_end: float
 
 
 @dataclass(frozen=True, slots=True)
-class Extend:
-    """The lease runs on until then."""
+class ExtendLease:
+    """The lease was renewed and now runs until `lease_end`."""
 
     address: str
     term: int
-    until: float
+    lease_end: float
 
 
 @dataclass(frozen=True, slots=True)
-class LastCall:
-    """The lease ends soon and has not been renewed: what is in hand must be answered before."""
+class HurryPending:
+    """The lease ends soon and has not been renewed: answer pending requests before `lease_end`."""
 
     address: str
     term: int
-    until: float
+    lease_end: float
 
 
 @dataclass(frozen=True, slots=True)
-class Retire:
-    """Planned: take nothing more on the address, and stop announcing it. Withdrawn answers, while the lease
-    is still kept up."""
+class Withdraw:
+    """Planned handover: take no new requests on the address and stop announcing the address.
+
+    The caller answers with Withdrawn; the lease is renewed until then.
+    """
 
     address: str
     term: int
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
-    """The lease is over: shut the gate at once, then stop announcing. Withdrawn answers."""
+class Fence:
+    """The lease has expired: shut the gate at once, then stop announcing the address.
+
+    The caller answers with Withdrawn.
+    """
 
     address: str
     term: int
 
 
 @dataclass(frozen=True, slots=True)
-class Wake:
-    """Bring a Tick at that time, instead of any asked for before."""
+class SetTimer:
+    """Deliver a Tick at `due`; replaces any earlier timer."""
 
-    at: float
+    due: float
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
-    """An event for the log; each is listed in docs/operators/moving-address.md."""
+class LogEvent:
+    """An event for the log; docs/operators/moving-address.md lists each of them."""
 
-    event: str
+    name: str
     fields: dict[str, Any] = field(default_factory=dict)
 
 
-Action = Tell | Keep | Announce | Extend | LastCall | Retire | Cut | Wake | Note
+Action = (
+    SendMessage
+    | PersistVotes
+    | Announce
+    | ExtendLease
+    | HurryPending
+    | Withdraw
+    | Fence
+    | SetTimer
+    | LogEvent
+)
--- a/wickgw/address/membership.py
+++ b/wickgw/address/membership.py
@@ -1,10 +1,13 @@
-"""Who of the group is alive: beats, suspicion, and its refutation by incarnation numbers.
+"""Failure detection: which instances of the group are alive.
 
-Owns what is believed of each other instance. Theory (SWIM, Das and others 2002, section 4): an instance that
-is not heard is suspected, and those who suspect say so; an instance that hears of a suspicion against itself
-raises its incarnation number, and word of it with the higher number, brought by anybody, clears it. A slow or
-one-way link thus makes no dead instance of a live one. Nothing here is trusted for safety: a wrong belief
-can cost time, never a second holder, since leases need votes (`votes`). It must never read a clock.
+Keeps the believed state of every other instance. Heartbeats carry the sender's views, and suspicion and
+refutation follow SWIM (Das and others 2002, section 4): an instance that is not heard is suspected, and those
+that suspect it say so in their heartbeats. An instance that learns of a suspicion against itself raises its
+incarnation number. A view with the higher number, from any sender, clears the suspicion, so a slow or one-way
+link does not make a live instance appear dead.
+
+Safety does not depend on this module: a lease needs votes (`votes`), so a wrong state can cost time but never
+lead to a second holder. Times are passed in; the module reads no clock.
 """
 
 from collections.abc import Iterable
@@ -13,12 +16,12 @@
 
 from wickgw.address.messages import Beat, View
 
-SUSPECT_AFTER = 3.5  # beats without word
-DEAD_AFTER = 8.0
+SUSPECT_AFTER_HEARTBEATS = 3.5  # heartbeat intervals without news
+DEAD_AFTER_HEARTBEATS = 8.0
 
 
-class State(IntEnum):
-    """What is believed of an instance."""
+class MemberState(IntEnum):
+    """The believed state of an instance; the number is part of the protocol."""
 
     DEAD = 0
     SUSPECTED = 1
@@ -26,118 +29,134 @@
 
 
 class Cause(Enum):
-    """Why a belief changes."""
+    """Why the state of an instance changes."""
 
-    HEARD = "heard"  # itself, or newer word of it
-    ACCUSED = "accused"  # another suspects it, and we have not heard it ourselves of late
-    SILENT = "silent"  # for SUSPECT_AFTER beats
-    GIVEN_UP = "given up"  # silent for DEAD_AFTER beats
+    HEARD = "heard"  # a heartbeat of the instance itself, or newer news of it
+    ACCUSED = "accused"  # another instance suspects it, and we have not heard it directly of late
+    SILENT = "silent"  # no news for SUSPECT_AFTER_HEARTBEATS
+    GIVEN_UP = "given up"  # no news for DEAD_AFTER_HEARTBEATS
 
 
-TABLE: dict[tuple[State, Cause], State] = {
-    (State.SUSPECTED, Cause.HEARD): State.ALIVE,
-    (State.DEAD, Cause.HEARD): State.ALIVE,
-    (State.ALIVE, Cause.ACCUSED): State.SUSPECTED,
-    (State.ALIVE, Cause.SILENT): State.SUSPECTED,
-    (State.SUSPECTED, Cause.GIVEN_UP): State.DEAD,
+TRANSITIONS: dict[tuple[MemberState, Cause], MemberState] = {
+    (MemberState.SUSPECTED, Cause.HEARD): MemberState.ALIVE,
+    (MemberState.DEAD, Cause.HEARD): MemberState.ALIVE,
+    (MemberState.ALIVE, Cause.ACCUSED): MemberState.SUSPECTED,
+    (MemberState.ALIVE, Cause.SILENT): MemberState.SUSPECTED,
+    (MemberState.SUSPECTED, Cause.GIVEN_UP): MemberState.DEAD,
 }
 
 
 @dataclass(slots=True)
 class Member:
-    """One other instance, as it is seen from here."""
+    """What this instance knows of one other instance. Times are seconds on this instance's clock."""
 
     name: str
-    state: State = State.DEAD
-    boot: int = 0
-    count: int = 0
-    heard: float = float("-inf")  # last word of it, by whatever way
-    direct: float = float("-inf")  # last beat of its own
-    since: float = float("-inf")  # of its state
-    beat: Beat = field(default_factory=lambda: Beat(0, (), (), (), ()))
+    state: MemberState = MemberState.DEAD
+    boot: int = 0  # process start: Unix microseconds
+    incarnation: int = 0
+    last_heard: float = float("-inf")  # latest news of it, from itself or through others
+    last_heartbeat_at: float = float("-inf")  # arrival of its own latest heartbeat
+    state_since: float = float("-inf")
+    last_heartbeat: Beat = field(default_factory=lambda: Beat(0, (), (), (), ()))
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """A belief that changed."""
+class StateChange:
+    """A change of a member's believed state."""
 
     member: str
-    old: State
-    new: State
+    old_state: MemberState
+    new_state: MemberState
     cause: Cause
-    lasted: float  # seconds that the old one held
+    lasted_s: float  # time spent in the old state
 
 
 class Membership:
-    """All other instances of the group, and our own incarnation number."""
+    """All other instances of the group, and this instance's own incarnation number."""
 
-    def __init__(self, me: str, members: Iterable[str], beat: float) -> None:
-        self.me, self.beat = me, beat
-        self.others = {name: Member(name) for name in members if name != me}
-        self.boot = self.count = 0
-        self.refuted = 0  # suspicions of ourselves that we answered
+    def __init__(self, instance: str, members: Iterable[str], heartbeat_s: float) -> None:
+        self.instance, self.heartbeat_s = instance, heartbeat_s
+        self.others = {name: Member(name) for name in members if name != instance}
+        self.boot = self.incarnation = 0
+        self.refutations = 0  # suspicions against this instance that were refuted
 
-    def heard(self, sender: str, boot: int, beat: Beat, now: float) -> list[Change]:
-        """A beat came. Beats of an earlier life of their sender say nothing."""
+    def on_heartbeat(self, sender: str, boot: int, heartbeat: Beat, now: float) -> list[StateChange]:
+        """Process a heartbeat and the views in it. Ignores heartbeats of an earlier start of the sender."""
         member = self.others[sender]
-        if boot < member.boot or (boot == member.boot and beat.count < member.count):
+        if boot < member.boot or (boot == member.boot and heartbeat.count < member.incarnation):
             return []
-        member.boot, member.count, member.beat = boot, beat.count, beat
-        member.heard = member.direct = now
-        changes = self._turn(member, Cause.HEARD, now) if member.state is not State.ALIVE else []
-        for view in beat.views:
-            if view.name == self.me:
-                self._answer_suspicion(view)
+        member.boot, member.incarnation, member.last_heartbeat = boot, heartbeat.count, heartbeat
+        member.last_heard = member.last_heartbeat_at = now
+        changes = self._transition(member, Cause.HEARD, now) if member.state is not MemberState.ALIVE else []
+        for view in heartbeat.views:
+            if view.name == self.instance:
+                self._refute_suspicion(view)
             elif view.name in self.others:
-                changes += self._rumour(self.others[view.name], view, now)
+                changes += self._on_view(self.others[view.name], view, now)
         return changes
 
-    def _answer_suspicion(self, view: View) -> None:
-        if view.state != State.ALIVE and view.boot == self.boot and view.count >= self.count:
-            self.count = view.count + 1
-            self.refuted += 1
-
-    def _rumour(self, member: Member, view: View, now: float) -> list[Change]:
-        told, known = (view.boot, view.count), (member.boot, member.count)
-        if view.state == State.ALIVE:
-            # Of a suspected one only newer word counts, else an old rumour would keep the dead alive.
-            if told < known or (told == known and member.state is not State.ALIVE):
+    def _refute_suspicion(self, view: View) -> None:
+        """Raise the own incarnation number if `view` suspects this instance in its current incarnation."""
+        if view.state != MemberState.ALIVE and view.boot == self.boot and view.count >= self.incarnation:
+            self.incarnation = view.count + 1
+            self.refutations += 1
+
+    def _on_view(self, member: Member, view: View, now: float) -> list[StateChange]:
+        """Process another instance's view of `member`."""
+        viewed, known = (view.boot, view.count), (member.boot, member.incarnation)
+        if view.state == MemberState.ALIVE:
+            # A suspected member needs a newer incarnation; an old view would keep a dead member alive.
+            if viewed < known or (viewed == known and member.state is not MemberState.ALIVE):
                 return []
-            member.boot, member.count = told
-            member.heard = max(member.heard, now - view.age_ms / 1000)
-            silent = now - member.heard > SUSPECT_AFTER * self.beat
-            return [] if silent or member.state is State.ALIVE else self._turn(member, Cause.HEARD, now)
-        fresh = now - member.direct <= SUSPECT_AFTER * self.beat
-        if told >= known and not fresh and member.state is State.ALIVE:
-            return self._turn(member, Cause.ACCUSED, now)
+            member.boot, member.incarnation = viewed
+            member.last_heard = max(member.last_heard, now - view.age_ms / 1000)
+            silent = now - member.last_heard > SUSPECT_AFTER_HEARTBEATS * self.heartbeat_s
+            return (
+                []
+                if silent or member.state is MemberState.ALIVE
+                else self._transition(member, Cause.HEARD, now)
+            )
+        heard_directly = now - member.last_heartbeat_at <= SUSPECT_AFTER_HEARTBEATS * self.heartbeat_s
+        if viewed >= known and not heard_directly and member.state is MemberState.ALIVE:
+            return self._transition(member, Cause.ACCUSED, now)
         return []
 
-    def tick(self, now: float) -> list[Change]:
-        """Time has passed."""
+    def tick(self, now: float) -> list[StateChange]:
+        """Suspect silent members, and declare suspected ones dead."""
         changes = []
         for member in self.others.values():
-            silent = (now - member.heard) / self.beat
-            if member.state is State.ALIVE and silent > SUSPECT_AFTER:
-                changes += self._turn(member, Cause.SILENT, now)
-            if member.state is State.SUSPECTED and silent > DEAD_AFTER:
-                changes += self._turn(member, Cause.GIVEN_UP, now)
+            silent_heartbeats = (now - member.last_heard) / self.heartbeat_s
+            if member.state is MemberState.ALIVE and silent_heartbeats > SUSPECT_AFTER_HEARTBEATS:
+                changes += self._transition(member, Cause.SILENT, now)
+            if member.state is MemberState.SUSPECTED and silent_heartbeats > DEAD_AFTER_HEARTBEATS:
+                changes += self._transition(member, Cause.GIVEN_UP, now)
         return changes
 
-    def _turn(self, member: Member, cause: Cause, now: float) -> list[Change]:
-        old, new = member.state, TABLE[member.state, cause]
-        change = Change(member.name, old, new, cause, now - member.since)
-        member.state, member.since = new, now
+    def _transition(self, member: Member, cause: Cause, now: float) -> list[StateChange]:
+        old_state, new_state = member.state, TRANSITIONS[member.state, cause]
+        change = StateChange(member.name, old_state, new_state, cause, now - member.state_since)
+        member.state, member.state_since = new_state, now
         return [change]
 
     def views(self, now: float) -> tuple[View, ...]:
-        """What our beats say of the others."""
+        """Return the views of the other instances that go into this instance's heartbeats."""
         return tuple(
-            View(m.name, m.boot, m.count, int(m.state), min(int((now - m.heard) * 1000), 1 << 30))
-            for m in self.others.values()
-            if m.boot
+            View(
+                member.name,
+                member.boot,
+                member.incarnation,
+                int(member.state),
+                min(int((now - member.last_heard) * 1000), 1 << 30),
+            )
+            for member in self.others.values()
+            if member.boot
         )
 
-    def near(self, now: float) -> list[str]:
-        """The others that we hear ourselves."""
-        since = now - SUSPECT_AFTER * self.beat
-        return [m.name for m in self.others.values() if m.direct >= since and m.state is State.ALIVE]
+    def reachable(self, now: float) -> list[str]:
+        """Return the names of the live instances whose own heartbeats have arrived of late."""
+        since = now - SUSPECT_AFTER_HEARTBEATS * self.heartbeat_s
+        return [
+            member.name
+            for member in self.others.values()
+            if member.last_heartbeat_at >= since and member.state is MemberState.ALIVE
+        ]
--- a/wickgw/address/messages.py
+++ b/wickgw/address/messages.py
@@ -1,23 +1,24 @@
-"""What instances of a group say to each other: plain frozen data, encoded by `wire`.
+"""Messages between the instances of a group: plain frozen data, encoded by `wire`.
 
-Times in messages are durations (milliseconds), never clock readings: no two clocks are ever compared.
+Structs are encoded as arrays, so the order of their fields is part of the protocol. Times are durations in
+milliseconds and never clock readings, so no two clocks are compared.
 """
 
 import msgspec
 
 
 class View(msgspec.Struct, frozen=True, array_like=True):
-    """What the sender believes of another instance."""
+    """The sender's view of another instance."""
 
     name: str
-    boot: int  # the life meant: Unix microseconds of its start
-    count: int  # its incarnation number within that life
-    state: int  # membership.State
-    age_ms: int  # since the sender last heard it; itself or through others
+    boot: int  # the process start that the view is about: Unix microseconds
+    count: int  # incarnation number of that instance since that start
+    state: int  # membership.MemberState
+    age_ms: int  # since the sender last heard of that instance, directly or through others
 
 
 class Live(msgspec.Struct, frozen=True, array_like=True):
-    """A vote of the sender that is still running."""
+    """A vote of the sender that is still binding."""
 
     address: str
     term: int
@@ -25,46 +26,46 @@
 
 
 class Beat(msgspec.Struct, frozen=True, array_like=True, tag="b"):
-    """I am here. Sent to each other instance at every beat."""
+    """A heartbeat, sent to every other instance at each interval."""
 
-    count: int
-    unable: tuple[str, ...]  # addresses that I could not serve now
-    held: tuple[str, ...]  # addresses that I serve
+    count: int  # incarnation number of the sender
+    unable: tuple[str, ...]  # addresses that the sender can't serve now
+    held: tuple[str, ...]  # addresses that the sender holds a lease on
     views: tuple[View, ...]
     votes: tuple[Live, ...]
 
 
 class Ask(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """Vote for me: the lease on `address` in `term`. A later round of one term renews it."""
+    """A request for a vote: the lease on `address` in `term`. A later round of the same term renews it."""
 
     address: str
     term: int
     round: int
-    over: int = 0  # the holder of that term has told me that it has let go
+    over: int = 0  # an earlier term, whose holder has sent a Yield to the sender; 0 if there is none
 
 
 class Grant(msgspec.Struct, frozen=True, array_like=True, tag="g"):
-    """My vote is yours, for a lease from when I say so."""
+    """The sender votes for the asker. The vote binds for a lease from the time of sending."""
 
     address: str
     term: int
     round: int
-    boot: int  # the life of the asker that asked: an answer to an earlier life means nothing
+    boot: int  # process start of the asker; the asker ignores an answer to an earlier start
 
 
 class Deny(msgspec.Struct, frozen=True, array_like=True, tag="d"):
-    """My vote is not yours."""
+    """The sender does not vote for the asker."""
 
     address: str
     term: int
     round: int
-    boot: int
-    seen: int  # the highest term I know of
-    left_ms: int  # until my running vote or my quiet time ends
+    boot: int  # process start of the asker, as in Grant
+    seen: int  # the highest term that the sender knows
+    left_ms: int  # until the sender's binding vote or its quiet time after a start ends
 
 
 class Yield(msgspec.Struct, frozen=True, array_like=True, tag="y"):
-    """I held (or asked for) `term` and have let go; `to` should take it, if named."""
+    """The sender held `term`, or asked for it, and has released it. `to` should take over, if named."""
 
     address: str
     term: int
--- a/wickgw/address/scenarios.py
+++ b/wickgw/address/scenarios.py
@@ -1,8 +1,8 @@
-"""What goes wrong in a rehearsal: timed faults for each scenario, drawn from a seed.
+"""Simulation scenarios: for each, a list of timed faults drawn from a seed.
 
-Owns the list of scenarios. A fault is a time and the name of a method of `rehearsal.World` with its
-arguments; names of instances may be given as `holder`, which the world fills in when the fault is due. It
-must never know what the core does about a fault.
+A fault is a time and the name of a `fault_...` method of `simulation.Simulation` with its arguments. An
+argument `holder` stands for the instance that holds the first address when the fault is due. Scenarios know
+nothing of how the coordinator reacts.
 """
 
 from collections.abc import Callable
@@ -13,165 +13,174 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Something that goes wrong, or is mended."""
+    """A fault, or the repair of one."""
 
-    at: float  # seconds
-    what: str  # a method of World
+    at_s: float  # simulated time
+    kind: str  # the name of a method of Simulation, without its prefix `fault_`
     args: tuple[object, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Draw:
-    """What a scenario draws from."""
+class ScenarioRandom:
+    """The random choices that a scenario makes."""
 
     rng: np.random.Generator
-    names: tuple[str, ...]
-    end: float
+    instances: tuple[str, ...]
+    end_s: float  # end of the simulation
 
-    def between(self, low: float, high: float) -> float:
-        """A moment or a duration."""
+    def uniform(self, low: float, high: float) -> float:
+        """Return a time or a duration in this range."""
         return float(self.rng.uniform(low, high))
 
-    def one(self) -> str:
-        """An instance."""
-        return self.names[int(self.rng.integers(len(self.names)))]
+    def instance(self) -> str:
+        """Return the name of an instance."""
+        return self.instances[int(self.rng.integers(len(self.instances)))]
 
-    def shuffled(self) -> list[str]:
-        """All instances in any order."""
-        return [self.names[int(k)] for k in self.rng.permutation(len(self.names))]
+    def shuffled_instances(self) -> list[str]:
+        """Return the names of all instances in random order."""
+        return [self.instances[int(index)] for index in self.rng.permutation(len(self.instances))]
 
 
-def kill(d: Draw) -> list[Fault]:
-    """The holder dies; later it starts again, without a memory."""
-    at, faults = 3.0, []
-    while at < d.end - 4:
-        down = d.between(0.02, 4.0)
-        faults += [Fault(at, "kill", ("holder",)), Fault(at + down, "start_dead")]
-        at += down + d.between(3.0, 5.0)
+def kill(random: ScenarioRandom) -> list[Fault]:
+    """The holder crashes, and later restarts without its state."""
+    at_s, faults = 3.0, []
+    while at_s < random.end_s - 4:
+        down_s = random.uniform(0.02, 4.0)
+        faults += [Fault(at_s, "kill", ("holder",)), Fault(at_s + down_s, "start_dead")]
+        at_s += down_s + random.uniform(3.0, 5.0)
     return faults
 
 
-def _stalls(d: Draw, length: Callable[[], float]) -> list[Fault]:
-    at, faults = 3.0, []
-    while at < d.end - 4:
-        lasts = length()
-        faults.append(Fault(at, "stall", ("holder", lasts)))
-        if d.rng.random() < 0.5:  # cut off before it wakes: nobody is left to tell it
-            faults += [Fault(at + lasts * 0.9, "isolate", ("holder",)), Fault(at + lasts + 1.5, "mend")]
-        at += lasts + d.between(1.6, 4.0)
+def _stalls(random: ScenarioRandom, duration: Callable[[], float]) -> list[Fault]:
+    at_s, faults = 3.0, []
+    while at_s < random.end_s - 4:
+        lasts_s = duration()
+        faults.append(Fault(at_s, "stall", ("holder", lasts_s)))
+        if random.rng.random() < 0.5:  # isolated before it wakes: no message can show that it was replaced
+            faults += [
+                Fault(at_s + lasts_s * 0.9, "isolate", ("holder",)),
+                Fault(at_s + lasts_s + 1.5, "heal"),
+            ]
+        at_s += lasts_s + random.uniform(1.6, 4.0)
     return faults
 
 
-def stall_short(d: Draw) -> list[Fault]:
-    """The holder stalls for 80 ms, or for about as long as its lease still runs."""
-    return _stalls(d, lambda: 0.08 if d.rng.random() < 0.5 else d.between(0.2, 1.2))
+def stall_short(random: ScenarioRandom) -> list[Fault]:
+    """The holder stalls for 80 ms, or for about the rest of its lease."""
+    return _stalls(random, lambda: 0.08 if random.rng.random() < 0.5 else random.uniform(0.2, 1.2))
 
 
-def stall_long(d: Draw) -> list[Fault]:
-    """The holder stalls for 3 s and wakes to find that it was replaced."""
-    return _stalls(d, lambda: 3.0)
+def stall_long(random: ScenarioRandom) -> list[Fault]:
+    """The holder stalls for 3 s; another instance replaces it meanwhile."""
+    return _stalls(random, lambda: 3.0)
 
 
-def split(d: Draw) -> list[Fault]:
-    """The group falls into two halves, and comes together again."""
-    at, faults = 3.0, []
-    while at < d.end - 4:
-        order, lasts = d.shuffled(), d.between(0.3, 4.0)
-        cut = int(d.rng.integers(1, len(order)))
-        faults += [Fault(at, "split", (tuple(order[:cut]), tuple(order[cut:]))), Fault(at + lasts, "mend")]
-        at += lasts + d.between(0.5, 3.0)
+def split(random: ScenarioRandom) -> list[Fault]:
+    """The group is partitioned into two parts, and the partition heals."""
+    at_s, faults = 3.0, []
+    while at_s < random.end_s - 4:
+        order, lasts_s = random.shuffled_instances(), random.uniform(0.3, 4.0)
+        size = int(random.rng.integers(1, len(order)))
+        faults += [
+            Fault(at_s, "split", (tuple(order[:size]), tuple(order[size:]))),
+            Fault(at_s + lasts_s, "heal"),
+        ]
+        at_s += lasts_s + random.uniform(0.5, 3.0)
     return faults
 
 
-def three_way(d: Draw) -> list[Fault]:
-    """Three parts; with three instances nobody has a majority."""
-    order, at = d.shuffled(), d.between(3.0, 4.0)
+def three_way(random: ScenarioRandom) -> list[Fault]:
+    """A partition into three parts. With three instances, no part has a majority."""
+    order, at_s = random.shuffled_instances(), random.uniform(3.0, 4.0)
     third = max(1, len(order) // 3)
     parts = tuple(order[:third]), tuple(order[third : 2 * third]), tuple(order[2 * third :])
-    return [Fault(at, "split", parts), Fault(at + d.between(1.0, 4.0), "mend")]
-
-
-def one_way(d: Draw) -> list[Fault]:
-    """Links that carry in one direction only."""
-    at, faults = 3.0, []
-    while at < d.end - 5:
-        for _ in range(int(d.rng.integers(1, len(d.names) + 1))):
-            a, b = d.shuffled()[:2]
-            faults.append(Fault(at, "cut", ("holder" if d.rng.random() < 0.4 else a, b)))
-        lasts = d.between(1.0, 5.0)
-        faults.append(Fault(at + lasts, "mend"))
-        at += lasts + d.between(0.5, 2.0)
+    return [Fault(at_s, "split", parts), Fault(at_s + random.uniform(1.0, 4.0), "heal")]
+
+
+def one_way(random: ScenarioRandom) -> list[Fault]:
+    """Links that carry datagrams in one direction only."""
+    at_s, faults = 3.0, []
+    while at_s < random.end_s - 5:
+        for _ in range(int(random.rng.integers(1, len(random.instances) + 1))):
+            sender, receiver = random.shuffled_instances()[:2]
+            faults.append(Fault(at_s, "block", ("holder" if random.rng.random() < 0.4 else sender, receiver)))
+        lasts_s = random.uniform(1.0, 5.0)
+        faults.append(Fault(at_s + lasts_s, "heal"))
+        at_s += lasts_s + random.uniform(0.5, 2.0)
     return faults
 
 
-def voter_restarts(d: Draw) -> list[Fault]:
-    """A voter restarts and could vote twice, while a part of the group does not hear the holder."""
-    at, faults = 3.0, []
-    while at < d.end - 5:
-        faults.append(Fault(at, "estrange", (float(d.rng.random()),)))
-        later = at + d.between(1.1, 2.5)
-        faults += [Fault(later, "restart_voters", (d.between(0.01, 0.15),)), Fault(later + 3, "mend")]
-        at = later + 3 + d.between(1.0, 2.0)
+def voter_restarts(random: ScenarioRandom) -> list[Fault]:
+    """Voters restart and could vote twice, while a part of the group does not hear the holder."""
+    at_s, faults = 3.0, []
+    while at_s < random.end_s - 5:
+        faults.append(Fault(at_s, "isolate_from_minority", (float(random.rng.random()),)))
+        restart_s = at_s + random.uniform(1.1, 2.5)
+        faults += [
+            Fault(restart_s, "restart_voters", (random.uniform(0.01, 0.15),)),
+            Fault(restart_s + 3, "heal"),
+        ]
+        at_s = restart_s + 3 + random.uniform(1.0, 2.0)
     return faults
 
 
-def drift(d: Draw) -> list[Fault]:
-    """Clocks at the edges of the bound, and a holder that is cut off."""
-    at, faults = 3.0, []
-    while at < d.end - 3:
-        faults += [Fault(at, "isolate", ("holder",)), Fault(at + 2.0, "mend")]
-        at += d.between(2.5, 3.5)
+def drift(random: ScenarioRandom) -> list[Fault]:
+    """Clocks drift by up to the allowed bound, and the holder is isolated."""
+    at_s, faults = 3.0, []
+    while at_s < random.end_s - 3:
+        faults += [Fault(at_s, "isolate", ("holder",)), Fault(at_s + 2.0, "heal")]
+        at_s += random.uniform(2.5, 3.5)
     return faults
 
 
-def lossy(d: Draw) -> list[Fault]:
-    """Datagrams lost, doubled, late, out of order; and the holder dies."""
-    faults = [Fault(0.0, "weather", (d.between(0.02, 0.1), 0.1, d.between(0.02, 0.15), 0.05))]
-    return faults + kill(d)
+def lossy(random: ScenarioRandom) -> list[Fault]:
+    """Datagrams are lost, duplicated, delayed and reordered, and the holder crashes."""
+    faults = [Fault(0.0, "link_quality", (random.uniform(0.02, 0.1), 0.1, random.uniform(0.02, 0.15), 0.05))]
+    return faults + kill(random)
 
 
-def flapping(d: Draw) -> list[Fault]:
-    """A link that comes and goes."""
-    at, faults = 3.0, []
-    a, b = d.shuffled()[:2]
-    while at < d.end - 3:
-        faults += [Fault(at, "cut", (a, b)), Fault(at, "cut", (b, a))]
-        at += d.between(0.05, 1.5)
-        faults.append(Fault(at, "mend"))
-        at += d.between(0.05, 1.0)
+def flapping(random: ScenarioRandom) -> list[Fault]:
+    """A link that fails and recovers repeatedly."""
+    at_s, faults = 3.0, []
+    one, other = random.shuffled_instances()[:2]
+    while at_s < random.end_s - 3:
+        faults += [Fault(at_s, "block", (one, other)), Fault(at_s, "block", (other, one))]
+        at_s += random.uniform(0.05, 1.5)
+        faults.append(Fault(at_s, "heal"))
+        at_s += random.uniform(0.05, 1.0)
     return faults
 
 
-def cannot_bind(d: Draw) -> list[Fault]:
-    """The address can't be announced by some instance, which would be the one to take it."""
-    name = d.one()
+def cannot_bind(random: ScenarioRandom) -> list[Fault]:
+    """One instance, which may be the next in rank, can't announce the address."""
+    name = random.instance()
     return [
         Fault(0.0, "announcer", (name, False)),
-        Fault(d.between(4, 6), "kill", ("holder",)),
-        Fault(d.between(7, 8), "start_dead"),
-        Fault(d.between(8, 9), "announcer", (name, True)),
+        Fault(random.uniform(4, 6), "kill", ("holder",)),
+        Fault(random.uniform(7, 8), "start_dead"),
+        Fault(random.uniform(8, 9), "announcer", (name, True)),
     ]
 
 
-def shrinks(d: Draw) -> list[Fault]:
-    """One after the other dies, until nobody may serve; then they come back."""
-    order, at, faults = d.shuffled(), 3.0, []
+def shrinks(random: ScenarioRandom) -> list[Fault]:
+    """Instances crash one after the other until none may serve; then all restart."""
+    order, at_s, faults = random.shuffled_instances(), 3.0, []
     for name in order[: len(order) // 2 + 1]:
-        faults.append(Fault(at, "kill", (name,)))
-        at += d.between(0.1, 1.5)
-    return [*faults, Fault(at + d.between(0.5, 2.0), "start_dead")]
+        faults.append(Fault(at_s, "kill", (name,)))
+        at_s += random.uniform(0.1, 1.5)
+    return [*faults, Fault(at_s + random.uniform(0.5, 2.0), "start_dead")]
 
 
-def cold_start(d: Draw) -> list[Fault]:
-    """All die at once, and start at once."""
-    at = d.between(3.0, 4.0)
-    faults = [Fault(at, "kill", (name,)) for name in d.names]
-    return [*faults, Fault(at + d.between(0.0, 1.0), "start_dead")]
+def cold_start(random: ScenarioRandom) -> list[Fault]:
+    """All instances crash at once and restart at once."""
+    at_s = random.uniform(3.0, 4.0)
+    faults = [Fault(at_s, "kill", (name,)) for name in random.instances]
+    return [*faults, Fault(at_s + random.uniform(0.0, 1.0), "start_dead")]
 
 
-def wrong_key(d: Draw) -> list[Fault]:
-    """An instance with a wrong key says and hears nothing."""
-    name = d.one()
+def wrong_key(random: ScenarioRandom) -> list[Fault]:
+    """An instance with a wrong key exchanges no messages."""
+    name = random.instance()
     return [
         Fault(0.0, "key", (name, False)),
         Fault(6.0, "kill", ("holder",)),
@@ -179,23 +188,26 @@
     ]
 
 
-def planned(d: Draw) -> list[Fault]:
-    """Instances end in order and come back, and addresses are moved back to whom they belong."""
-    at, faults = 3.0, []
-    while at < d.end - 4:
-        faults += [Fault(at, "resign", ("holder",)), Fault(at + d.between(0.3, 1.5), "start_dead")]
-        at += d.between(1.5, 4.0)
+def planned(random: ScenarioRandom) -> list[Fault]:
+    """Instances stop in order and restart, and addresses move back to the preferred instances."""
+    at_s, faults = 3.0, []
+    while at_s < random.end_s - 4:
+        faults += [
+            Fault(at_s, "resign", ("holder",)),
+            Fault(at_s + random.uniform(0.3, 1.5), "start_dead"),
+        ]
+        at_s += random.uniform(1.5, 4.0)
     return faults
 
 
-def storm(d: Draw) -> list[Fault]:
-    """Several of these over one another."""
-    kinds = [k for k in SCENARIOS.values() if k is not storm]
-    picked = [kinds[int(k)] for k in d.rng.permutation(len(kinds))[:3]]
-    return [fault for kind in picked for fault in kind(d)]
+def storm(random: ScenarioRandom) -> list[Fault]:
+    """Three other scenarios at the same time."""
+    scenarios = [choice for choice in SCENARIOS.values() if choice is not storm]
+    picked = [scenarios[int(choice)] for choice in random.rng.permutation(len(scenarios))[:3]]
+    return [fault for scenario in picked for fault in scenario(random)]
 
 
-SCENARIOS: dict[str, Callable[[Draw], list[Fault]]] = {
+SCENARIOS: dict[str, Callable[[ScenarioRandom], list[Fault]]] = {
     "kill": kill,
     "stall 80 ms": stall_short,
     "stall 3 s": stall_long,
--- a/wickgw/address/votes.py
+++ b/wickgw/address/votes.py
@@ -1,19 +1,23 @@
-"""The voter: whom this instance has granted each address, in which term, and until when.
+"""The voter: which instance this one has voted for on each address, in which term, and until when.
 
-Owns the votes. Safety rests on this file and on two lines of `group`:
+Safety depends on this module and on two rules of `coordinator`: an expired lease ends before an event is
+handled, and a holder sends Yield only after Withdrawn. Two majorities share a voter, so the following rules
+keep two instances from holding an address at the same time:
 
-- A voter gives one vote a term, and terms only grow. While its vote runs it gives none to anybody else.
-- A holder counts its lease from *before* it asked, shortened by the drift (`Settings.held_for`); a voter is
-  bound from when it granted, lengthened by the drift (`Settings.bound_for`). Whatever a message takes, the
-  holder's count ends first, by at least twice the drift. Two majorities share a voter: no two hold at once.
-- A voter that has lost its votes is quiet until any that it may have given has run out.
+- A voter gives one vote in a term, and terms only grow. While its vote is binding, it votes for no other
+  instance.
+- A holder counts its lease from *before* it asked and shortens it by the clock drift
+  (`Settings.holder_lease_s`). A voter is bound from the grant, for a lease lengthened by the clock drift
+  (`Settings.voter_lease_s`). However long a message takes, the holder's lease ends first, by at least twice
+  the drift.
+- A voter that has lost its votes does not vote until any vote that it may have given has expired.
 
-It must never shorten a running vote but by the word of the one that it was given to.
+Only a release by the instance that a vote was given to ends the vote before its time.
 """
 
 from dataclasses import dataclass
 
-from wickgw.address.events import Kept
+from wickgw.address.events import StoredVote
 
 
 @dataclass(slots=True)
@@ -22,65 +26,75 @@
 
     term: int
     holder: str
-    until: float  # bound until then
-    over: bool = False  # its holder has let go
+    binding_until: float  # seconds on the voter's clock
+    over: bool = False  # the holder has released the vote
 
-    def runs(self, now: float) -> bool:
-        """Whether it binds."""
-        return not self.over and now < self.until
+    def is_binding(self, now: float) -> bool:
+        """Return whether the voter is still bound."""
+        return not self.over and now < self.binding_until
 
 
 class Voter:
-    """The votes of one instance, one for each address."""
+    """The votes of one instance, one for each address. `voter_lease_s` is `Settings.voter_lease_s`."""
 
-    def __init__(self, bound_for: float) -> None:
-        self.bound_for = bound_for
-        self.quiet_until = float("-inf")
+    def __init__(self, voter_lease_s: float) -> None:
+        self.voter_lease_s = voter_lease_s
+        self.quiet_until = float("-inf")  # no votes before this time
         self.votes: dict[str, Vote] = {}
-        self.revision = 0  # raised when what must be kept changes; a renewal changes nothing of it
+        self.revision = 0  # raised when a field of StoredVote changes, which a renewal does not do
 
-    def began(self, kept: tuple[Kept, ...] | None, now: float) -> None:
-        """A life begins. What is not known may have been granted a moment ago."""
-        if kept is None:
-            self.quiet_until = now + self.bound_for
+    def restore(self, stored_votes: tuple[StoredVote, ...] | None, now: float) -> None:
+        """Load the votes of the previous process; None if they are unknown.
+
+        A stored vote may have been renewed just before the restart, so it binds for a whole lease. Without
+        stored votes, any vote may have been given just before the restart, so the voter is quiet for a lease.
+        """
+        if stored_votes is None:
+            self.quiet_until = now + self.voter_lease_s
             return
-        for vote in kept:
-            self.votes[vote.address] = Vote(vote.term, vote.holder, now + self.bound_for, vote.over)
+        for vote in stored_votes:
+            self.votes[vote.address] = Vote(vote.term, vote.holder, now + self.voter_lease_s, vote.over)
+
+    def request_vote(self, address: str, holder: str, term: int, now: float) -> bool:
+        """Vote for `holder` in `term`, or renew that vote, if allowed. Returns whether the vote was granted.
 
-    def ask(self, address: str, holder: str, term: int, now: float) -> bool:
-        """Whether `holder` gets the vote for `term` (again). If so it is bound from now on."""
+        A granted vote binds for a lease from now.
+        """
         if now < self.quiet_until:
             return False
         vote = self.votes.get(address)
         if vote is not None:
             if term < vote.term:
                 return False
-            if term == vote.term and not self._again(vote, holder):
+            if term == vote.term and not self._may_renew(vote, holder):
                 return False
-            if term > vote.term and vote.runs(now) and vote.holder != holder:
+            if term > vote.term and vote.is_binding(now) and vote.holder != holder:
                 return False
         if vote is None or (vote.term, vote.holder) != (term, holder):
             self.revision += 1
-        self.votes[address] = Vote(term, holder, now + self.bound_for)
+        self.votes[address] = Vote(term, holder, now + self.voter_lease_s)
         return True
 
-    def _again(self, vote: Vote, holder: str) -> bool:
-        """Whether the term's own holder renews it; one that has let go may not."""
+    def _may_renew(self, vote: Vote, holder: str) -> bool:
+        """Return whether `holder` is the term's own holder and has not released the vote."""
         return vote.holder == holder and not vote.over
 
-    def let_go(self, address: str, term: int, holder: str) -> None:
-        """The holder of a term has let go of it."""
+    def release(self, address: str, term: int, holder: str) -> None:
+        """Mark the vote of `term` as released by its holder."""
         vote = self.votes.get(address)
         if vote is not None and vote.term == term and vote.holder == holder:
             self.revision += not vote.over
             vote.over = True
 
-    def left(self, address: str, now: float) -> float:
-        """Seconds until this voter is free to vote for anybody."""
+    def blocked_for(self, address: str, now: float) -> float:
+        """Return the seconds until this voter may vote for any instance."""
         vote = self.votes.get(address)
-        running = vote.until - now if vote is not None and vote.runs(now) else 0.0
-        return max(running, self.quiet_until - now, 0.0)
-
-    def kept(self) -> tuple[Kept, ...]:
-        """The votes as they are written down."""
-        return tuple(Kept(a, v.term, v.holder, v.over) for a, v in sorted(self.votes.items()))
+        binding_s = vote.binding_until - now if vote is not None and vote.is_binding(now) else 0.0
+        return max(binding_s, self.quiet_until - now, 0.0)
+
+    def stored_votes(self) -> tuple[StoredVote, ...]:
+        """Return the votes in the form of the state file."""
+        return tuple(
+            StoredVote(address, vote.term, vote.holder, vote.over)
+            for address, vote in sorted(self.votes.items())
+        )
--- a/wickgw/address/wire.py
+++ b/wickgw/address/wire.py
@@ -1,11 +1,13 @@
-"""Datagrams between instances: encoded (msgspec), sealed (HMAC-SHA-256, RFC 2104), and read with suspicion.
-
-A datagram is 3 bytes of version, 4 of the key's name, 16 of seal, and a MessagePack array: group, sender,
-receiver, the sender's life, the receiver's life as the sender knows it, a sequence number, the message. The
-seal covers everything else. What is not sealed with a known key, is of another group or to another instance,
-was seen before, or is of an earlier life of either side is counted and dropped; beats alone may come from one
-that does not know our life yet. Owns the counters of all that. It must never act on, or answer, a datagram
-before its seal is checked.
+"""The datagram codec: encodes (msgspec), authenticates (HMAC-SHA-256, RFC 2104), verifies and decodes.
+
+A datagram has 3 bytes of version, 4 bytes of the key's name, 16 bytes of authentication code (a truncated
+HMAC), and a MessagePack array: group, sender, receiver, the sender's start time, the receiver's start time as
+far as the sender knows it, a sequence number, and the message. The code covers everything else.
+
+A datagram is counted and dropped if it has no valid code of a known key, belongs to another group or another
+instance, was received before, or is from an earlier start of either side. Only a heartbeat may come from a
+sender that does not know the receiver's current start yet. No datagram is acted on or answered before its
+code is verified. The codec owns the sequence numbers, the replay windows and the counters of all that.
 """
 
 import hashlib
@@ -16,71 +18,83 @@
 
 from wickgw.address.keys import Keys
 from wickgw.address.messages import Beat, Message
-from wickgw.address.window import Window
+from wickgw.address.replay_window import ReplayWindow
 
 VERSION = b"WA1"
-KEY_NAME, SEAL = 4, 16  # bytes
-HEAD = len(VERSION) + KEY_NAME + SEAL
-MOST = 8192  # bytes of a datagram; a beat of 7 instances and 16 addresses takes about 1,200
+KEY_NAME_BYTES, MAC_BYTES = 4, 16
+HEADER_BYTES = len(VERSION) + KEY_NAME_BYTES + MAC_BYTES
+MAX_DATAGRAM_BYTES = 8192  # a heartbeat with 7 instances and 16 addresses takes about 1,200
 
 
 class Datagram(msgspec.Struct, frozen=True, array_like=True):
-    """What is sealed."""
+    """The body, which the authentication code covers."""
 
     group: str
     sender: str
     to: str
-    boot: int
-    to_boot: int
-    number: int
+    boot: int  # start time of the sender: Unix microseconds
+    to_boot: int  # start time of the receiver as far as the sender knows it
+    number: int  # sequence number, counted for each receiver
     message: Message
 
 
-class Wire:
-    """One instance's end of the wire."""
+class DatagramCodec:
+    """Encodes and decodes the datagrams of one instance. `members` names all instances of the group."""
 
-    def __init__(self, group: str, me: str, boot: int, members: tuple[str, ...], keys: Keys) -> None:
-        self.group, self.me, self.boot, self.keys = group, me, boot, keys
-        self.numbers = dict.fromkeys(members, 0)  # of the last datagram to each
-        self.windows = {name: Window() for name in members if name != me}
-        self.counted: Counter[str] = Counter()
+    def __init__(self, group: str, instance: str, boot: int, members: tuple[str, ...], keys: Keys) -> None:
+        self.group, self.instance, self.boot, self.keys = group, instance, boot, keys
+        self.last_numbers = dict.fromkeys(members, 0)  # sequence number of the last datagram to each member
+        self.windows = {name: ReplayWindow() for name in members if name != instance}
+        self.counters: Counter[str] = Counter()
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(Datagram)
 
-    def seal(self, to: str, message: Message) -> bytes:
-        """A datagram to another instance."""
-        self.numbers[to] += 1
-        known = self.windows[to].boot
+    def encode(self, receiver: str, message: Message) -> bytes:
+        """Return the datagram that carries `message` to another instance."""
+        self.last_numbers[receiver] += 1
+        receiver_boot = self.windows[receiver].boot
         body = self._encoder.encode(
-            Datagram(self.group, self.me, to, self.boot, known, self.numbers[to], message)
+            Datagram(
+                self.group,
+                self.instance,
+                receiver,
+                self.boot,
+                receiver_boot,
+                self.last_numbers[receiver],
+                message,
+            )
         )
-        self.counted["sent"] += 1
-        name = self.keys.first
-        return VERSION + name + self._seal(name, body) + body
+        self.counters["sent"] += 1
+        key_name = self.keys.signing_key
+        return VERSION + key_name + self._mac(key_name, body) + body
 
-    def _seal(self, name: bytes, body: bytes) -> bytes:
-        return hmac.new(self.keys.secrets[name], VERSION + name + body, hashlib.sha256).digest()[:SEAL]
+    def _mac(self, key_name: bytes, body: bytes) -> bytes:
+        """Return the authentication code of a body."""
+        return hmac.new(self.keys.secrets[key_name], VERSION + key_name + body, hashlib.sha256).digest()[
+            :MAC_BYTES
+        ]
 
-    def open(self, data: bytes) -> Datagram | None:
-        """What came, if it may be believed; else None, and the reason is counted."""
-        datagram, why = self._open(data)
-        self.counted["received" if not why else f"dropped.{why}"] += 1
-        return datagram if not why else None
+    def decode(self, data: bytes) -> Datagram | None:
+        """Return the datagram if it is valid. Otherwise return None and count the reason."""
+        datagram, drop_reason = self._verify(data)
+        self.counters["received" if not drop_reason else f"dropped.{drop_reason}"] += 1
+        return datagram if not drop_reason else None
 
-    def _open(self, data: bytes) -> tuple[Datagram | None, str]:
-        if not HEAD < len(data) <= MOST or data[:3] != VERSION:
+    def _verify(self, data: bytes) -> tuple[Datagram | None, str]:
+        """Return the datagram and an empty string, or None and the reason for dropping it."""
+        if not HEADER_BYTES < len(data) <= MAX_DATAGRAM_BYTES or data[:3] != VERSION:
             return None, "malformed"
-        name, seal, body = data[3:7], data[7:HEAD], data[HEAD:]
-        if name not in self.keys.secrets:
+        key_name, mac, body = data[3:7], data[7:HEADER_BYTES], data[HEADER_BYTES:]
+        if key_name not in self.keys.secrets:
             return None, "unknown-key"
-        if not hmac.compare_digest(seal, self._seal(name, body)):
+        if not hmac.compare_digest(mac, self._mac(key_name, body)):
             return None, "unsealed"
         try:
             datagram = self._decoder.decode(body)
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
             return None, "malformed"
         window = self.windows.get(datagram.sender)
-        if (datagram.group, datagram.to) != (self.group, self.me) or window is None:
+        if (datagram.group, datagram.to) != (self.group, self.instance) or window is None:
             return None, "not-for-us"
         if datagram.to_boot != self.boot and not isinstance(datagram.message, Beat):
             return None, "earlier-life"
--- a/wickgw/cli/address.py
+++ b/wickgw/cli/address.py
@@ -96,18 +96,18 @@
     ever answered at once and the address came back in time."""
     from rich.progress import Progress
 
-    from wickgw.address.bugs import BUGS, Planted
-    from wickgw.address.campaign import campaign
-    from wickgw.address.rehearsal import rehearse as run_schedule
+    from wickgw.address.campaign import run_campaign
+    from wickgw.address.injected_bugs import BUG_NAMES, InjectedBug
+    from wickgw.address.simulation import simulate as run_schedule
 
-    if plant and plant not in BUGS:
-        print(f"wickgw: --plant: {plant!r} read; one of {', '.join(BUGS)} is allowed", file=sys.stderr)
+    if plant and plant not in BUG_NAMES:
+        print(f"wickgw: --plant: {plant!r} read; one of {', '.join(BUG_NAMES)} is allowed", file=sys.stderr)
         raise typer.Exit(2)
     if trace:
-        print("\n".join(run_schedule(seed, Planted(plant), traced=True).trace))
+        print("\n".join(run_schedule(seed, InjectedBug(plant), traced=True).trace))
     with Progress(disable=not sys.stderr.isatty()) as bar:
         task = bar.add_task("seeds", total=seeds)
-        report = campaign(
+        report = run_campaign(
             seed,
             seeds,
             plant,
@@ -129,9 +129,9 @@
         f"{summary['deaths']} deaths of a holder, "
         f"back in {return_s['p50']} s (median), {return_s['p99']} s (99%), {return_s['max']} s (max)"
     )
-    if report.broken:
-        broken = report.broken[0]
-        print("\n".join(run_schedule(broken.seed, Planted(plant), traced=True).trace))
+    if report.failed_results:
+        broken = report.failed_results[0]
+        print("\n".join(run_schedule(broken.seed, InjectedBug(plant), traced=True).trace))
         print("\n".join(f"VIOLATION {text}" for text in broken.violations))
         plant_option = f" --plant {plant}" if plant else ""
         print(f"replay: wickgw address rehearse --seeds 1 --seed {broken.seed} --trace{plant_option}")
