--- a/benchmarks/capacity_measures.py
+++ b/benchmarks/capacity_measures.py
@@ -170,10 +170,10 @@
     took, longest = [], []
     for _ in range(9):
         calls = [time.process_time()]
-        parts = reader.begin(text)
+        parts = reader.start(text)
         whole = False
         while not whole:
-            whole = parts.read_some()
+            whole = parts.parse_some()
             calls.append(time.process_time())
         took.append(calls[-1] - calls[0])
         longest.append(max(after - before for before, after in pairwise(calls)))
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -152,7 +152,7 @@
                 assert ready, "no connection came"
                 connection, _ = ready[0].accept()
             elif name.startswith("m") and self.node.mgmt is not None:  # a caller of the second address
-                connection = socket.create_connection(self.node.mgmt.where, PATIENCE)
+                connection = socket.create_connection(self.node.mgmt.address, PATIENCE)
             else:
                 connection = socket.create_connection(self.where, PATIENCE)
             connection.settimeout(PATIENCE)
--- a/tests/test_address_gate.py
+++ b/tests/test_address_gate.py
@@ -8,7 +8,7 @@
 
 from wickgw.address.gate import Gate, Phase
 from wickgw.net.clients import Listener
-from wickgw.net.listen import listening
+from wickgw.net.listen import open_listening_socket
 
 
 class ServedAddress:
@@ -19,10 +19,10 @@
         self.gate = Gate("east", 1, 101.0, lambda: self.now)
 
         async def listen() -> Listener:
-            return Listener(self.scene.node.clients, listening(("127.0.0.1", 0), 1024), self.gate)
+            return Listener(self.scene.node.clients, open_listening_socket(("127.0.0.1", 0), 1024), self.gate)
 
         self.listener = asyncio.run_coroutine_threadsafe(listen(), self.scene.loop).result(PATIENCE)
-        self.scene.where = self.listener.where
+        self.scene.where = self.listener.address
 
     def call(self, method: str, *args: object) -> object:
         """Call a method of the node's `Clients` with the gate and `args`, on the scene's loop."""
@@ -67,7 +67,7 @@
 ) -> None:
     served.scene.play("a send job 1 once\nw0 gets 1\nw0 send take\nw0 send event started 1")
     served.gate.hurried = True
-    served.call("hurry", 0.05)
+    served.call("shorten_deadlines", 0.05)
     served.scene.play("a expect HTTP/1.1 502\nnode wait hurried 1\nnode wait owed 0\nw0 expect end")
 
 
@@ -75,7 +75,7 @@
     """The second request waits for a worker that is busy with the first. It has not run, so it may be refused
     with 503."""
     served.scene.play("a send job 1 look\nw0 gets 1\nb send job 2 look\nnode wait owed 2")
-    served.call("hurry", 0.05)
+    served.call("shorten_deadlines", 0.05)
     served.scene.play("b expect HTTP/1.1 503.*Retry-After\nnode wait hurried 2")
 
 
@@ -88,7 +88,7 @@
 
 def test_planned_handover_answers_pending_requests_and_takes_no_new_ones(served: ServedAddress) -> None:
     served.scene.play("a send job 1\nw0 gets 1\nb open\nnode wait client_connections 2")
-    assert served.call("settle") is True
+    assert served.call("close_idle_through") is True
     served.scene.play("b expect end")
     served.gate.finish(200.0)
     served.now = 150.0  # long after the lease, as agreed with the successor
@@ -97,9 +97,11 @@
 
 def test_settling_waits_for_a_request_that_is_unread_or_partly_read(served: ServedAddress) -> None:
     served.scene.play('a send raw "POST /look HTTP/1.1~"\na open\nnode wait connections 1')
-    while not any(connection.partial for connection in list(served.scene.node.clients.connections)):
+    while not any(
+        connection.has_partial_request for connection in list(served.scene.node.clients.connections)
+    ):
         served.scene.play("node wait connections 1")
-    assert served.call("settle") is False
+    assert served.call("close_idle_through") is False
 
 
 def test_shut_gate_closes_every_connection_and_the_balancer_drops_the_requests(
@@ -107,7 +109,7 @@
 ) -> None:
     served.scene.play("a send job 1\nw0 gets 1\nb open\nnode wait client_connections 2")
     served.gate.shut()
-    served.call("cut")
+    served.call("fence_all")
     served.scene.play("a expect end\nb expect end\nnode wait answer.client_left 1\nnode wait owed 0")
     balancer = served.scene.node.dispatcher.balancer
     assert "1" not in balancer.requests
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,7 +1,8 @@
-"""Moments in which something ends while something is still owed: docs/design/endings.md lists them.
+"""Ends of connections, watches, workers and processes while requests are open (docs/design/endings.md).
 
-Each scene forces the bad order every time: replies are held back, connections are kept from opening, and the
-waits that the settings lead to are made short; nothing sleeps for an order's sake."""
+Each scene forces the critical order: answers are held back, connections are kept from opening, and timeouts
+are shortened. No test relies on a sleep for the order of events.
+"""
 
 import asyncio
 import contextlib
@@ -26,35 +27,34 @@
 SLOW_TO_OPEN: dict[str, Any] = {"bounds": FACTS["bounds"] | {"connect-timeout-ns": 10_000 * MS}}
 
 
-def played(text: str, **more: Any) -> None:
-    scene = Scene(**more)
+def play_scene(text: str, **options: Any) -> None:
+    scene = Scene(**options)
     try:
         scene.play(text)
     finally:
         scene.close()
 
 
-def grace(seconds: float) -> dict[str, Any]:
+def drain_grace(seconds: float) -> dict[str, Any]:
     return {"rules": {"drain-grace-ns": int(seconds * 1000 * MS)}}
 
 
-class Gate:
-    """Connections to workers stay in their opening until it is opened: the step between a connection that is
-    up and the first byte written on it is held."""
+class ConnectGate:
+    """Holds connections to workers between their connect and the first write, until `open` is called."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.held: list[WorkerConnection] = []
-        self.shut, real = True, WorkerConnection._connected
+        self.is_closed, original = True, WorkerConnection._connected
 
         def connected(connection: WorkerConnection) -> None:
-            if self.shut:
+            if self.is_closed:
                 assert connection.sock is not None
-                connection.pool.loop.remove_writer(connection.sock.fileno())
+                connection.owner.loop.remove_writer(connection.sock.fileno())
                 self.held.append(connection)
             else:
-                real(connection)
+                original(connection)
 
-        self.real: Callable[[WorkerConnection], None] = real
+        self.original: Callable[[WorkerConnection], None] = original
         monkeypatch.setattr(WorkerConnection, "_connected", connected)
 
     def wait(self, scene: Scene, count: int) -> None:
@@ -64,73 +64,79 @@
             scene.play("node wait taken 0")
 
     def open(self, scene: Scene) -> None:
-        self.shut = False
+        self.is_closed = False
 
-        async def go() -> None:
+        async def release() -> None:
             for connection in self.held:
                 if connection.sock is not None:
-                    self.real(connection)
+                    self.original(connection)
 
-        asyncio.run_coroutine_threadsafe(go(), scene.loop).result(PATIENCE)
+        asyncio.run_coroutine_threadsafe(release(), scene.loop).result(PATIENCE)
 
 
 @pytest.fixture
-def gate(monkeypatch: pytest.MonkeyPatch) -> Iterator[Gate]:
-    yield Gate(monkeypatch)
+def connect_gate(monkeypatch: pytest.MonkeyPatch) -> Iterator[ConnectGate]:
+    yield ConnectGate(monkeypatch)
 
 
-def settle(scene: Scene) -> None:
-    """All that was written before has been read: the dispatcher has answered a call that came later."""
+def wait_until_read(scene: Scene) -> None:
+    """Wait until the dispatcher has read all earlier input: it has answered a later request."""
     scene.play("z send get /-/healthy\nz expect ok")
 
 
 @contextlib.contextmanager
-def standing_still(scene: Scene) -> Iterator[None]:
-    """The dispatcher is at something else meanwhile: what comes lies unread, however much it is."""
-    busy, go = threading.Event(), threading.Event()
+def blocked_loop(scene: Scene) -> Iterator[None]:
+    """Block the dispatcher's event loop, so that all input stays unread."""
+    is_blocked, release = threading.Event(), threading.Event()
 
-    def stand_still() -> None:
-        busy.set()
-        go.wait(PATIENCE)
+    def block() -> None:
+        is_blocked.set()
+        release.wait(PATIENCE)
 
-    scene.loop.call_soon_threadsafe(stand_still)
-    assert busy.wait(PATIENCE)
+    scene.loop.call_soon_threadsafe(block)
+    assert is_blocked.wait(PATIENCE)
     try:
         yield
     finally:
-        go.set()
+        release.set()
 
 
-# The list: news counts as told whether or not it arrived.
+# The worker list: a change counts as delivered whether or not it arrived.
 
 
-@pytest.mark.parametrize("wanted", [0.2, 0.7, 2.0, 3.5, 8.0])
-@pytest.mark.parametrize("mode", ["push", "ask"])
+@pytest.mark.parametrize("grace_s", [0.2, 0.7, 2.0, 3.5, 8.0])
+@pytest.mark.parametrize("list_mode", ["push", "ask"])
 @pytest.mark.parametrize("siblings", [1, 3, 200, 2000])
 def test_what_a_silent_watch_missed_is_fetched_within_the_grace(
-    wanted: float, mode: str, siblings: int
+    grace_s: float, list_mode: str, siblings: int
 ) -> None:
-    """The sums, for any settings: from a call to its giving up, the pause, the call that brings the news."""
-    timing = WatchTiming(read_settings(FACTS | {"discovery": mode, "siblings": siblings} | grace(wanted)))
-    deadline = watch_timing.TOLD_AFTER_S + wanted  # silent from the moment of the call, and given up
-    given_up = sum(timing.watch)
+    """For any settings: the timeout of a watch, the pause, and the call that fetches the change fit."""
+    timing = WatchTiming(
+        read_settings(FACTS | {"discovery": list_mode, "siblings": siblings} | drain_grace(grace_s))
+    )
+    deadline = watch_timing.CHANGE_DELIVERY_S + grace_s  # counted from the call, which stays silent
+    watch_timeout = sum(timing.watch)
     pauses = [timing.pause(failures, False).longest for failures in range(1, 40)]
-    if mode == "push":
-        # It is silent a second time: the call after it, which does not wait, is given up as well.
-        again = given_up + timing.pause(1, True).longest + sum(timing.watch_after_failure)
-        assert again + timing.pause(2, True).longest + watch_timing.MIN_ANSWER_S < deadline
-        # What the agent has counts at once, open watch or not: a reset one is opened anew within the grace.
-        assert pauses[0] < 0.1 and max(pauses) <= max(0.125, wanted / 8)
+    if list_mode == "push":
+        # The watch falls silent twice: the call after it, which does not wait, times out as well.
+        second_timeout = watch_timeout + timing.pause(1, True).longest + sum(timing.watch_after_failure)
+        assert second_timeout + timing.pause(2, True).longest + watch_timing.MIN_ANSWER_TIMEOUT_S < deadline
+        # A change counts as delivered as soon as the agent has it, so a reset watch is reopened at once.
+        assert pauses[0] < 0.1 and max(pauses) <= max(0.125, grace_s / 8)
     else:
         retry = watch_timing.IMMEDIATE_RETRY_S
-        assert given_up + timing.pause(1, True).longest + watch_timing.FETCH_S <= deadline + 1e-9
-        assert max(pauses) + timing.whole_list <= deadline + 1e-9  # a refused call, and the next one queues
-        assert sum(timing.watch_after_failure) + retry + watch_timing.FETCH_S <= deadline + 1e-9
-        assert timing.watch_after_failure.silence >= timing.whole_list  # its place in the queue is kept
+        assert (
+            watch_timeout + timing.pause(1, True).longest + watch_timing.FETCH_ALLOWANCE_S <= deadline + 1e-9
+        )
+        # After a refused call the next one queues.
+        assert max(pauses) + timing.whole_list_timeout <= deadline + 1e-9
+        assert sum(timing.watch_after_failure) + retry + watch_timing.FETCH_ALLOWANCE_S <= deadline + 1e-9
+        # The call keeps its place in the queue.
+        assert timing.watch_after_failure.answer_timeout >= timing.whole_list_timeout
 
 
 def test_reset_watch_is_opened_anew_at_once_where_lists_are_pushed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Of 200 dispatchers each paused 3 to 7 s, and sent to workers that drained since for as long."""
+    """With pauses of 3 to 7 s, each of 200 dispatchers would send to draining workers for as long."""
     pauses = list[tuple[float, float]]()
     monkeypatch.setattr(random, "uniform", lambda a, b: pauses.append((a, b)) or b)  # type: ignore[func-returns-value]
     scene = Scene(known="", facts=PUSHED)
@@ -145,7 +151,7 @@
 
 def test_watch_that_is_silent_twice_or_stops_half_way_is_opened_anew(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_timing, "WATCH_WAIT_S", 0.05)
-    played(
+    play_scene(
         """
         d send list 5 whole w0 w1
         d expect index=5&wait=50 HTTP
@@ -159,20 +165,24 @@
         w1 gets 1
         """,
         known="",
-        facts=PUSHED | grace(0.4),
+        facts=PUSHED | drain_grace(0.4),
     )
 
 
 def test_agent_whose_connection_never_comes_up_is_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The first attempt after the loss is kept from coming up; the agent's queue takes the next one."""
-    scene, real, calls = Scene(known="", facts=PUSHED | grace(0.4)), discovery.Discovery._writable, [0]
+    """The first connection after the loss is kept from opening; the next one opens."""
+    scene, original, calls = (
+        Scene(known="", facts=PUSHED | drain_grace(0.4)),
+        discovery.Discovery._writable,
+        [0],
+    )
 
     def writable(self: discovery.Discovery) -> None:
         calls[0] += 1
         if calls[0] > 1:
-            real(self)
-        elif self.opening is not None:
-            self.loop.remove_writer(self.opening.fileno())
+            original(self)
+        elif self.connecting_socket is not None:
+            self.loop.remove_writer(self.connecting_socket.fileno())
 
     try:
         scene.play("d send list 5 whole w0 w1\nd expect index=5&")
@@ -189,7 +199,7 @@
     monkeypatch.setattr(watch_timing, "QUEUE_TIMEOUT_S", 0.1)
     pauses = list[tuple[float, float]]()
     monkeypatch.setattr(random, "uniform", lambda a, b: pauses.append((a, b)) or a)  # type: ignore[func-returns-value]
-    played(
+    play_scene(
         "d send list 5 whole w1\nd expect index=5\nd/2 expect index=5\nd/3 expect index=5",
         facts={"discovery": "ask", "siblings": 200},
     )
@@ -199,12 +209,12 @@
 def test_new_process_sends_nothing_by_the_old_list_before_the_agent_has_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What the agent has counts as told from the first moment of a process, and it answers at once."""
-    # The agent's answer is held back for as long as the scene likes.
-    monkeypatch.setattr(watch_timing, "FIRST_ANSWER_S", PATIENCE)
-    monkeypatch.setattr(watch_timing, "MIN_ANSWER_S", PATIENCE)
-    monkeypatch.setattr(watch_timing, "AIM_PER_FIRST_ANSWER", 0.001)
-    played(
+    """Changes that the agent has count as delivered from the start of a process, and it answers at once."""
+    # Long timeouts, so that the scene can hold the agent's answer back.
+    monkeypatch.setattr(watch_timing, "FIRST_ANSWER_TIMEOUT_S", PATIENCE)
+    monkeypatch.setattr(watch_timing, "MIN_ANSWER_TIMEOUT_S", PATIENCE)
+    monkeypatch.setattr(watch_timing, "AIM_TO_FIRST_ANSWER_RATIO", 0.001)
+    play_scene(
         """
         d expect index=7&wait=1 HTTP
         a send job 1 look 4000
@@ -222,11 +232,11 @@
 
 
 def test_new_process_serves_by_the_old_list_if_the_agent_is_silent() -> None:
-    played("a send job 1\nw0 gets 1\nw0 send serve 1\na expect made", facts=PUSHED)
+    play_scene("a send job 1\nw0 gets 1\nw0 send serve 1\na expect made", facts=PUSHED)
 
 
 def test_after_sighup_the_new_agent_is_asked_until_it_answers() -> None:
-    played(
+    play_scene(
         """
         d send list 5 whole w0 w1
         d expect index=5&
@@ -241,73 +251,72 @@
         w1 gets 1
         """,
         known="",
-        facts=PUSHED | grace(0.4),
+        facts=PUSHED | drain_grace(0.4),
     )
 
 
-# Tries that are decided and not yet written.
+# Attempts that are decided and not yet sent.
 
 
-@pytest.mark.parametrize("news", ["w0=draining w1", "w0=gone w1"])
+@pytest.mark.parametrize("list_change", ["w0=draining w1", "w0=gone w1"])
 @pytest.mark.parametrize("cls", ["look", "once"])
 def test_try_whose_connection_still_opens_is_not_written_to_a_worker_that_drains(
-    gate: Gate, news: str, cls: str
+    connect_gate: ConnectGate, list_change: str, cls: str
 ) -> None:
     scene = Scene(facts=SLOW_TO_OPEN)
     try:
         scene.play(f"d send list 5 whole w0\nd expect index=5\na send job 1 {cls} 4000")
-        gate.wait(scene, 1)
-        gate.shut = False
-        scene.play(
-            f"d send list 6 part {news}\nd expect index=6\nw1 gets 1"
-        )  # it never ran: it goes elsewhere
-        gate.open(scene)
-        settle(scene)
+        connect_gate.wait(scene, 1)
+        connect_gate.is_closed = False
+        # The job never ran, so another worker gets it.
+        scene.play(f"d send list 6 part {list_change}\nd expect index=6\nw1 gets 1")
+        connect_gate.open(scene)
+        wait_until_read(scene)
         scene.play("w1 send serve 1\na expect made\nnode wait try.moot 1\nw0 expect end")
     finally:
         scene.close()
 
 
-@pytest.mark.parametrize("leave", ["close", "close hard"])
+@pytest.mark.parametrize("close_action", ["close", "close hard"])
 def test_try_whose_connection_still_opens_is_not_written_for_a_client_that_left(
-    gate: Gate, leave: str
+    connect_gate: ConnectGate, close_action: str
 ) -> None:
     scene = Scene(facts=SLOW_TO_OPEN)
     try:
         scene.play("d send list 5 whole w0\nd expect index=5\na send job 1 once 4000")
-        gate.wait(scene, 1)
-        scene.play(f"a {leave}\nnode wait answer.client_left 1")
-        gate.open(scene)
-        settle(scene)
+        connect_gate.wait(scene, 1)
+        scene.play(f"a {close_action}\nnode wait answer.client_left 1")
+        connect_gate.open(scene)
+        wait_until_read(scene)
         scene.play("w0 expect end\nnode wait try.moot 1\nnode wait peer_connections 0")
     finally:
         scene.close()
 
 
 def test_try_whose_connection_still_opens_goes_to_the_worker_that_started_anew_by_a_new_one(
-    gate: Gate,
+    connect_gate: ConnectGate,
 ) -> None:
     scene = Scene(known="", facts=SLOW_TO_OPEN)
     try:
         scene.play("d send list 5 whole w0=ready@1000\nd expect index=5\na send job 1 once 4000")
-        gate.wait(scene, 1)
-        gate.shut = False
+        connect_gate.wait(scene, 1)
+        connect_gate.is_closed = False
         scene.play("d send list 6 part w0=ready@2000\nd expect index=6\nw0 expect end\nw0/2 gets 1")
         scene.play("w0/2 send serve 1\na expect made\nnode wait try.moot 1\nnode wait tries 2")
     finally:
         scene.close()
 
 
-# Answers that come twice.
+# Duplicate answers.
 
 
 def test_second_answer_without_an_id_is_not_taken_for_the_next_tries(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The first job is turned away, and some milliseconds later once more. A never-twice job that is written
-    on that connection in between would count as never run and go elsewhere, while it runs."""
-    monkeypatch.setattr(worker_connection, "REST_S", PATIENCE)
-    played(
+    """A worker declines the first job, and repeats that answer some milliseconds later. A non-idempotent job
+    sent on the connection in between would count as never run, and would run a second time elsewhere."""
+    monkeypatch.setattr(worker_connection, "QUARANTINE_S", PATIENCE)
+    play_scene(
         """
         d send list 5 whole w0
         d expect index=5
@@ -331,10 +340,10 @@
 def test_second_answer_that_hands_a_job_back_is_not_taken_for_the_next_try_of_the_same_job(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Both workers hand a never-twice job back; tried at the first again by the same connection, its first
-    line come twice would say that it never ran while it runs."""
-    monkeypatch.setattr(worker_connection, "REST_S", PATIENCE)
-    played(
+    """Both workers hand a non-idempotent job back. If it returned to the first worker on the same connection,
+    a duplicate of the first answer would report that it never ran, while it runs."""
+    monkeypatch.setattr(worker_connection, "QUARANTINE_S", PATIENCE)
+    play_scene(
         """
         d send list 5 whole w0 w1
         d expect index=5
@@ -353,16 +362,16 @@
     )
 
 
-# Clients that have left.
+# Clients that disconnect.
 
 
 def test_client_that_leaves_behind_much_that_it_sent_is_seen_to_leave() -> None:
-    """Its end lay behind bytes that were not read any more, for as long as its request waited."""
-    scene = Scene(known="")  # no worker: the request is held
+    """Guards against a pause in reading, which would hide the disconnect while the request waits."""
+    scene = Scene(known="")  # without a worker the request is held
     try:
         scene.play("d send list 5 whole\na send job 1 once 4000\nnode wait owed 1")
         try:
-            scene.play(f"a send bytes {http.MAX_HEAD * 4}")
+            scene.play(f"a send bytes {http.MAX_HEAD_BYTES * 4}")
         finally:
             scene.play("a close")
         scene.play("node wait answer.client_left 1\nnode wait owed 0")
@@ -370,16 +379,16 @@
         scene.close()
 
 
-@pytest.mark.parametrize("how", ["fin", "half", "reset"])
-def test_request_held_while_its_client_leaves_is_never_sent(how: str) -> None:
+@pytest.mark.parametrize("close_mode", ["fin", "half", "reset"])
+def test_request_held_while_its_client_leaves_is_never_sent(close_mode: str) -> None:
     scene = Scene(known="")
     try:
         scene.play("d send list 5 whole\nd expect index=5\na send job 1 once 4000\nnode wait owed 1")
-        a = scene.connections["a"]
-        if how == "half":
-            a.shutdown(socket.SHUT_WR)
+        client_socket = scene.connections["a"]
+        if close_mode == "half":
+            client_socket.shutdown(socket.SHUT_WR)
         else:
-            scene.play("a close" if how == "fin" else "a close hard")
+            scene.play("a close" if close_mode == "fin" else "a close hard")
         scene.play(
             "node wait answer.client_left 1\nnode wait owed 0\nd send list 6 part w0\nd expect index=6"
         )
@@ -389,11 +398,11 @@
 
 
 def test_request_whose_client_left_before_it_was_read_is_never_sent() -> None:
-    """It waits, with its end behind it, while the process is at something else."""
+    """Request and disconnect are both unread while the event loop is blocked."""
     scene = Scene()
     try:
         scene.play("d send list 5 whole w0\nd expect index=5\na open\nnode wait client_connections 1")
-        with standing_still(scene):
+        with blocked_loop(scene):
             scene.play("a send job 1 once 4000\na close")
         scene.play("node wait left_unread 1\nb send job 2\nw0 gets 2\nnode wait tries 1")
     finally:
@@ -401,47 +410,49 @@
 
 
 def test_client_that_ends_its_side_with_answers_unread_has_left_all_the_same() -> None:
-    """A connection whose answers are not read closes only once they are, and its request waits no longer."""
-    scene = Scene(known="")  # no worker: the request is held
+    """The transport closes only once the answers are read, but the pending request does not wait for that."""
+    scene = Scene(known="")  # without a worker the request is held
     try:
         scene.play("d send list 5 whole\nd expect index=5\na open\nnode wait client_connections 1")
-        a = scene.connections["a"]
-        a.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
-        a.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # held back, they would come all at once
+        client_socket = scene.connections["a"]
+        client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
+        # Without it the requests would arrive all at once.
+        client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
         async def unwritten() -> int:
             (connection,) = scene.node.clients.connections
             assert connection.sock is not None
-            connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # the rest waits here
-            return connection.unwritten
+            # The rest of the answers stays in the transport.
+            connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            return connection.unwritten_bytes
 
         while asyncio.run_coroutine_threadsafe(unwritten(), scene.loop).result(PATIENCE) < 200_000:
-            a.sendall(MESSAGES["get"]("/-/counters").encode() * 20)
+            client_socket.sendall(MESSAGES["get"]("/-/counters").encode() * 20)
         scene.play("a send job 1 once 4000\nnode wait owed 1")
-        a.shutdown(socket.SHUT_WR)
+        client_socket.shutdown(socket.SHUT_WR)
         scene.play("node wait answer.client_left 1\nnode wait owed 0")
     finally:
         scene.close()
 
 
 def test_client_that_asks_on_and_reads_no_answer_is_bounded() -> None:
-    """What it asks for is answered on the spot, and nothing of it leaves the process any more."""
+    """Its requests are answered at once, and the answers cannot leave the process."""
     scene = Scene()
     try:
         scene.play("a open\nnode wait client_connections 1")
-        a = scene.connections["a"]
-        a.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
+        client_socket = scene.connections["a"]
+        client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
 
         async def held() -> tuple[int, int]:
             (connection,) = scene.node.clients.connections
-            return connection.unwritten, scene.node.pools.counters["rejected.413"]
-
-        most, told = 0, 0
-        while not told:
-            a.sendall(MESSAGES["get"]("/-/counters").encode() * 100)
-            most, told = asyncio.run_coroutine_threadsafe(held(), scene.loop).result(PATIENCE)
-            assert most < 16 * clients.WHOLE_ANSWER, "its answers fill the memory"
-        assert most < 2 * clients.WHOLE_ANSWER
+            return connection.unwritten_bytes, scene.node.pools.counters["rejected.413"]
+
+        max_unwritten, rejections = 0, 0
+        while not rejections:
+            client_socket.sendall(MESSAGES["get"]("/-/counters").encode() * 100)
+            max_unwritten, rejections = asyncio.run_coroutine_threadsafe(held(), scene.loop).result(PATIENCE)
+            assert max_unwritten < 16 * clients.MAX_ANSWER_BYTES, "the unread answers are not bounded"
+        assert max_unwritten < 2 * clients.MAX_ANSWER_BYTES
     finally:
         scene.close()
 
@@ -451,7 +462,7 @@
     try:
         scene.play("d send list 5 whole w0\nd expect index=5\na send job 1 look 4000\nw0 gets 1")
         for _ in range(8):
-            scene.play(f"a send bytes {clients.AHEAD // 4}")
+            scene.play(f"a send bytes {clients.MAX_PIPELINED_BYTES // 4}")
         scene.play(
             "node wait cut 1\nw0 send serve 1\na expect 200 OK.*made\na expect ^HTTP/1.1 4\\d\\d .*close"
         )
@@ -459,18 +470,18 @@
         scene.close()
 
 
-# What the system still holds back when a connection ends.
+# Data that the kernel still holds back when a connection closes.
 
 
 def test_nothing_written_is_held_back_on_any_connection() -> None:
-    """A close over unread bytes resets a connection, and what the system waits with goes with it."""
+    """A close over unread bytes resets a connection, and data that the kernel delays would be lost."""
     scene = Scene(mgmt=True)
     try:
         scene.play("d send list 5 whole w0\nd expect index=5\na send job 1\nw0 gets 1\nm open")
         scene.play("m send raw 'STATUS'\nnode wait client_connections 1")
 
         async def delays() -> dict[str, bool]:
-            node, (pool,) = scene.node, scene.node.pools.all
+            node, (pool,) = scene.node, scene.node.pools.all_servers
             assert node.mgmt is not None and node.discovery.connection is not None
             held: dict[str, list[Connection]] = {"client": [*node.clients.connections]}
             held |= {"peer": [*pool.connections.connections], "discovery": [node.discovery.connection]}
@@ -478,8 +489,8 @@
             return {
                 kind: not sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
                 for kind, connections in held.items()
-                for c in connections
-                if (sock := c.sock) is not None
+                for connection in connections
+                if (sock := connection.sock) is not None
             }
 
         delayed = asyncio.run_coroutine_threadsafe(delays(), scene.loop).result(PATIENCE)
@@ -491,36 +502,36 @@
 def test_answer_is_not_lost_when_its_connection_ends_over_unread_bytes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The answer before it is not acknowledged yet, and the client has more on its way: a close resets."""
-    scene, read = Scene(), clients.ClientConnection._read
+    """The previous answer is not acknowledged and more input is in flight, so the close is a reset."""
+    scene, read = Scene(), clients.ClientConnection._read_requests
 
     def read_and_end(connection: clients.ClientConnection) -> None:
         read(connection)
-        connection.abort()  # whatever ends it just then
+        connection.abort()  # any cause of a close at this moment
 
     try:
         scene.play("d send list 5 whole w0\nd expect index=5\na open\nnode wait client_connections 1")
-        a = scene.connections["a"]
-        a.setsockopt(socket.IPPROTO_TCP, socket.TCP_QUICKACK, 0)
-        monkeypatch.setattr(clients.ClientConnection, "_read", read_and_end)
-        with standing_still(scene):
-            # A request behind them that is not whole, and longer than one read.
-            whole = MESSAGES["get"]("/-/healthy").encode() * 2
-            a.sendall(whole + job("1", body="x" * 60_000).encode()[:-1])
+        client_socket = scene.connections["a"]
+        client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_QUICKACK, 0)
+        monkeypatch.setattr(clients.ClientConnection, "_read_requests", read_and_end)
+        with blocked_loop(scene):
+            # An incomplete request follows them, longer than one read.
+            requests = MESSAGES["get"]("/-/healthy").encode() * 2
+            client_socket.sendall(requests + job("1", body="x" * 60_000).encode()[:-1])
         answers = b""
         with contextlib.suppress(ConnectionResetError):
-            while data := a.recv(65536):
+            while data := client_socket.recv(65536):
                 answers += data
-        assert answers.count(b"200 OK") == 2, f"an answer that was written is lost: {answers!r}"
+        assert answers.count(b"200 OK") == 2, f"a written answer is lost: {answers!r}"
     finally:
         scene.close()
 
 
-# The end of a process.
+# Shutdown of a process.
 
 
 def test_process_does_not_end_while_a_request_lies_unread() -> None:
-    """Its last byte came between two turns of the loop, the last of which looked whether all is answered."""
+    """The last byte of the request arrives between two turns of the loop, right before the final check."""
     scene = Scene()
     try:
         scene.play(
@@ -530,9 +541,9 @@
 
         async def end() -> None:
             scene.node.clients.drain()
-            scene._send("a", "job 2 look 2000")  # in the kernel's buffer before the node looks, on loopback
-            scene.node._quiet()
-            assert not scene.node.finished.done(), "it ends, and a request lies unread"
+            scene._send("a", "job 2 look 2000")  # on loopback, in the kernel's buffer before the check
+            scene.node._finish_when_done()
+            assert not scene.node.finished.done(), "the process ends with an unread request"
 
         asyncio.run_coroutine_threadsafe(end(), scene.loop).result(PATIENCE)
         scene.play("w0 gets 2\nw0 send serve 2\na expect 200 OK.*close.*made")
@@ -540,7 +551,7 @@
         scene.close()
 
 
-SHORT = {"services": [s | {"hard-limit-ns": 900 * MS} for s in FACTS["services"]]}
+SHORT = {"services": [service | {"hard-limit-ns": 900 * MS} for service in FACTS["services"]]}
 SIGTERM = {
     "before the first list": """
         a send job 1 look 800
@@ -548,7 +559,7 @@
         node drain
         a expect ^HTTP/1.1 503 .*Connection: close.*later
     """,
-    "twice, while a worker hangs": """
+    "twice, while a worker does not answer": """
         d send list 5 whole w0
         d expect index=5
         a send job 1 once 800
@@ -568,7 +579,7 @@
         w0 send serve 1
         a expect ^HTTP/1.1 200 .*made
     """,
-    "and then a reload, the worker's answer held back until the new list is in": """
+    "and then a reload, with the worker's answer held back until the new list is read": """
         d send list 5 whole w0
         d expect index=5
         a send job 1 once 800
@@ -581,7 +592,7 @@
         w0 send serve 1
         a expect ^HTTP/1.1 200 .*made
     """,
-    "with half a request in": """
+    "after a part of a request": """
         d send list 5 whole w0
         d expect index=5
         a send raw "POST /once HTTP/1.1~Host: x~"
@@ -591,7 +602,7 @@
         w0 send serve 2
         b expect ^HTTP/1.1 200 .*made
     """,
-    "while its connection to a worker opens": """
+    "while a connection to a worker is opening": """
         d send list 5 whole w0
         d expect index=5
         w0 jam w0
@@ -602,15 +613,15 @@
 }
 
 
-@pytest.mark.parametrize("mode", ["push", "ask"])
+@pytest.mark.parametrize("list_mode", ["push", "ask"])
 @pytest.mark.parametrize("moment", SIGTERM)
-def test_sigterm_at_any_moment_answers_what_was_read_and_ends(moment: str, mode: str) -> None:
-    scene = Scene(known="", facts=SHORT | {"discovery": mode})
+def test_sigterm_at_any_moment_answers_what_was_read_and_ends(moment: str, list_mode: str) -> None:
+    scene = Scene(known="", facts=SHORT | {"discovery": list_mode})
     try:
         began = time.monotonic()
         scene.play(SIGTERM[moment])
         while not scene.node.finished.done():
-            assert time.monotonic() < began + 5.0, "it does not end"
+            assert time.monotonic() < began + 5.0, "the process does not end"
             scene.play("node wait taken 0")
         scene.play("node wait owed 0")
     finally:
@@ -618,25 +629,26 @@
 
 
 def test_each_request_sent_up_to_the_end_is_answered_whole_or_meets_a_closed_connection() -> None:
-    """After SIGTERM clients send on every connection that stays open, each as soon as it has its answer."""
+    """After SIGTERM, each client sends its next request as soon as it has an answer, until its connection
+    closes."""
     scene = Scene(known="", facts=SHORT)
     try:
         scene.play("d send list 5 whole w0\nd expect index=5")
-        scene.servers["w0"].listen(64)  # connections come up, and nobody there ever answers
+        scene.servers["w0"].listen(64)  # accepts connections and never answers
         answered = list[bytes]()
 
-        def client(n: int) -> None:
+        def client(number: int) -> None:
             with socket.create_connection(scene.where, PATIENCE) as sock:
                 sock.settimeout(PATIENCE)
-                for k in range(1000):
+                for attempt in range(1000):
                     try:
-                        sock.sendall(job(f"c{n}-{k}", "once", "300").encode())
+                        sock.sendall(job(f"c{number}-{attempt}", "once", "300").encode())
                         answer = b""
                         while not re.search(rb"\r\n\r\n.*\n$", answer, re.S):
                             data = sock.recv(65536)
                             assert data or not answer, f"an answer was cut off: {answer!r}"
                             if not data:
-                                return  # the closing crossed the request: it is sent again elsewhere
+                                return  # the close crossed the request, which the client may retry
                             answer += data
                     except ConnectionError:
                         return
@@ -644,30 +656,32 @@
                     if b"Connection: close" in answer:
                         return
 
-        threads = [threading.Thread(target=client, args=(n,)) for n in range(12)]
+        threads = [threading.Thread(target=client, args=(number,)) for number in range(12)]
         for thread in threads:
             thread.start()
         scene.play("node wait taken 12\nnode drain")
         for thread in threads:
             thread.join(PATIENCE)
-        assert len(answered) >= 12 and all(a.startswith(b"HTTP/1.1 50") for a in answered)
+        assert len(answered) >= 12 and all(answer.startswith(b"HTTP/1.1 50") for answer in answered)
         report: Any = asyncio.run_coroutine_threadsafe(scene._report(), scene.loop).result(PATIENCE)
         assert report["counters"]["taken"] == len(answered)
     finally:
         scene.close()
 
 
-# Connections to workers that end at any byte.
+# Connections to workers that close after any byte.
 
 
 def test_never_twice_job_runs_once_at_whatever_byte_its_workers_connection_ends() -> None:
-    """Cut after each byte of the answer, gently and hard in turn: one try, one answer, and the right one."""
+    """The connection closes after each byte of the answer, with FIN and reset in turn: one attempt and one
+    correct answer."""
     scene = Scene(known="")
     try:
         scene.play("d send list 5 whole w0\nd expect index=5")
-        whole = MESSAGES["serve"]("n000")
-        known = whole.index('"result": "made"}\n') + len('"result": "made"}\n')  # the last line is in
-        for cut in range(0, len(whole) + 1, 3):
+        response = MESSAGES["serve"]("n000")
+        # From this byte on the result is known: the final event is complete.
+        known = response.index('"result": "made"}\n') + len('"result": "made"}\n')
+        for cut in range(0, len(response) + 1, 3):
             name = f"n{cut:03d}"
             scene.play(f"a send job {name} once 4000")
             worker = f"w0/{cut}"
@@ -679,18 +693,18 @@
             scene.unread["a"] = b""
         report: Any = asyncio.run_coroutine_threadsafe(scene._report(), scene.loop).result(PATIENCE)
         counts = report["counters"]
-        assert counts["tries"] == counts["taken"] == len(range(0, len(whole) + 1, 3))
+        assert counts["tries"] == counts["taken"] == len(range(0, len(response) + 1, 3))
         assert counts["answer.failed"] + counts["answer.served"] == counts["taken"]
-        assert counts["answer.served"] >= (len(whole) - known) // 6
+        assert counts["answer.served"] >= (len(response) - known) // 6
     finally:
         scene.close()
 
 
-# What a worker needs to know a repeat by.
+# The key by which workers recognise repeats.
 
 
 def test_key_of_a_request_whose_repeats_workers_drop_is_passed_on() -> None:
-    played(
+    play_scene(
         """
         d send list 5 whole w0
         d expect index=5
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -109,7 +109,7 @@
     due = [(0.01 * n, n) for n in range(MANY)]
     failures, free_at, served = [0] * MANY, 0.0, 0.0
     timing = WatchTiming(site(ask_for_list=True))
-    patience = timing.watch_after_failure.silence
+    patience = timing.watch_after_failure.answer_timeout
     while due:
         now, n = heapq.heappop(due)
         if free_at - now > place * work:  # the line is full: refused at once
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The parsers: the same messages however the bytes are cut, and nothing but HttpError on nonsense."""
+"""The HTTP parsers: the same messages however the bytes are split, and only HttpError on malformed input."""
 
 import pytest
 from hypothesis import given, settings
@@ -18,56 +18,56 @@
     b"A\r\n0123456789\r\n0\r\nT: 1\r\n\r\nHTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno"
     b"HTTP/1.1 204 X\r\n\r\nHTTP/1.1 200 OK\r\n\r\nto the end"
 )
-CHUNKED = b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
-SPLITS = st.lists(st.integers(1, 40), min_size=1, max_size=30)
-FIXED = settings(derandomize=True, max_examples=200, deadline=None)
+CHUNKED_HEAD = b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
+PIECE_SIZES = st.lists(st.integers(1, 40), min_size=1, max_size=30)
+DETERMINISTIC = settings(derandomize=True, max_examples=200, deadline=None)
 
 
-def cut(data: bytes, sizes: list[int]) -> list[bytes]:
-    pieces, k = [], 0
+def split(data: bytes, sizes: list[int]) -> list[bytes]:
+    pieces, index = [], 0
     while data:
-        size = sizes[k % len(sizes)]
+        size = sizes[index % len(sizes)]
         pieces.append(data[:size])
-        data, k = data[size:], k + 1
+        data, index = data[size:], index + 1
     return pieces
 
 
-def requests(pieces: list[bytes]) -> list[tuple[str, str, bytes, bool]]:
-    parser, seen = http.RequestParser(), []
+def parse_requests(pieces: list[bytes]) -> list[tuple[str, str, bytes, bool]]:
+    parser, messages = http.RequestParser(), []
     for piece in pieces:
         parser.feed(piece)
-        while (r := parser.next()) is not None:
-            seen.append((r.method, r.target, r.body, r.keep))
-    assert not parser.partial
-    return seen
+        while (request := parser.next()) is not None:
+            messages.append((request.method, request.target, request.body, request.keep_alive))
+    assert not parser.has_partial_request
+    return messages
 
 
-def responses(pieces: list[bytes]) -> list[tuple[int, bytes, bool]]:
-    parser, seen, status, body = http.ResponseParser(), [], 0, b""
+def parse_responses(pieces: list[bytes]) -> list[tuple[int, bytes, bool]]:
+    parser, messages, status, body = http.ResponseParser(), [], 0, b""
     for piece in pieces:
         for part in parser.feed(piece):
-            if isinstance(part, http.Head):
+            if isinstance(part, http.ResponseHead):
                 status, body = part.status, b""
-            elif isinstance(part, http.End):
-                seen.append((status, body, part.keep))
+            elif isinstance(part, http.EndOfResponse):
+                messages.append((status, body, part.keep_alive))
             else:
                 body += part
     end = parser.eof()
     assert end is not None
-    return [*seen, (status, body, end.keep)]
+    return [*messages, (status, body, end.keep_alive)]
 
 
-@FIXED
-@given(SPLITS)
-def test_cuts_do_not_matter(sizes: list[int]) -> None:
-    assert requests(cut(REQUESTS, sizes)) == [
+@DETERMINISTIC
+@given(PIECE_SIZES)
+def test_messages_do_not_depend_on_the_split(sizes: list[int]) -> None:
+    assert parse_requests(split(REQUESTS, sizes)) == [
         ("POST", "/look?x=1", b"ab\r\nc", True),
         ("GET", "/", b"", True),
         ("POST", "/c", b"abc0123456789", True),
         ("POST", "/e", b"", True),
         ("GET", "/z", b"", False),
     ]
-    assert responses(cut(RESPONSES, sizes)) == [
+    assert parse_responses(split(RESPONSES, sizes)) == [
         (200, b"abc0123456789", True),
         (503, b"no", True),
         (204, b"", True),
@@ -75,21 +75,21 @@
     ]
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.binary(max_size=300), st.integers(0, 250), st.booleans())
-def test_nonsense_raises_nothing_else(noise: bytes, at: int, whole: bool) -> None:
-    for parse, good in ((requests, REQUESTS), (responses, RESPONSES)):
-        data = noise if whole else good[:at] + noise + good[at + len(noise) :]
+def test_malformed_input_raises_only_http_error(garbage: bytes, offset: int, replace_all: bool) -> None:
+    for parse, valid in ((parse_requests, REQUESTS), (parse_responses, RESPONSES)):
+        data = garbage if replace_all else valid[:offset] + garbage + valid[offset + len(garbage) :]
         try:
-            parse(cut(data, [7]))
-        except (http.HttpError, AssertionError):  # the latter: a message that is not whole
+            parse(split(data, [7]))
+        except (http.HttpError, AssertionError):  # AssertionError: the message is incomplete
             continue
 
 
 @pytest.mark.parametrize(
     "data, status",
     [
-        (b"GET /" + b"a" * http.MAX_HEAD, 431),
+        (b"GET /" + b"a" * http.MAX_HEAD_BYTES, 431),
         (b"GET / HTTP/1.1\r\nHost: x\r\n" + b"a: b\r\n" * 101 + b"\r\n", 431),
         (b"GET / HTTP/1.1\r\nHost : x\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\nHost: x\x01\r\n\r\n", 400),
@@ -99,17 +99,17 @@
         (b"GET / HTTP/1.1\r\nHost: x\r\nContent-Length: 1, 1\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\nHost: x\r\nContent-Length: 9999999999999999\r\n\r\n", 400),
         (b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", 501),
-        (CHUNKED + b"zz\r\n", 400),
-        (CHUNKED + b"2\r\nabc\r\n", 400),
-        (CHUNKED + b"-2\r\nab\r\n", 400),
-        (CHUNKED + b"2;" + b"x" * 300, 400),
-        (CHUNKED + b"8000\r\n" + b"x" * 0x8000 + b"\r\n8001\r\n", 413),
-        (CHUNKED + b"0\r\n" + b"T: x\r\n" * 4000, 431),
+        (CHUNKED_HEAD + b"zz\r\n", 400),
+        (CHUNKED_HEAD + b"2\r\nabc\r\n", 400),
+        (CHUNKED_HEAD + b"-2\r\nab\r\n", 400),
+        (CHUNKED_HEAD + b"2;" + b"x" * 300, 400),
+        (CHUNKED_HEAD + b"8000\r\n" + b"x" * 0x8000 + b"\r\n8001\r\n", 413),
+        (CHUNKED_HEAD + b"0\r\n" + b"T: x\r\n" * 4000, 431),
     ],
 )
-def test_requests_that_are_not_taken(data: bytes, status: int) -> None:
+def test_invalid_requests_are_rejected(data: bytes, status: int) -> None:
     with pytest.raises(http.HttpError) as caught:
-        requests([data])
+        parse_requests([data])
     assert caught.value.status == status
 
 
@@ -125,14 +125,14 @@
         b"HTTP/3 200 OK\r\n\r\n",
     ],
 )
-def test_responses_that_are_not_taken(data: bytes) -> None:
+def test_invalid_responses_are_rejected(data: bytes) -> None:
     with pytest.raises(http.HttpError):
         list(http.ResponseParser().feed(data))
 
 
-def test_what_came_before_an_error_is_seen_before_it() -> None:
-    parser, seen = http.ResponseParser(), []
+def test_parts_before_an_error_are_yielded() -> None:
+    parser, messages = http.ResponseParser(), []
     with pytest.raises(http.HttpError):
         for part in parser.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\nzz\r\n"):
-            seen.append(part)
-    assert b"ab" in seen
+            messages.append(part)
+    assert b"ab" in messages
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The dispatcher on sockets, scene by scene. The language is in scenario.py."""
+"""The dispatcher on real sockets, by scenes in the language of scenario.py."""
 
 import asyncio
 import errno
@@ -14,11 +14,11 @@
 from wickgw.net import clients, discovery, watch_timing
 from wickgw.net.attempt import Job
 from wickgw.net.dispatch import Answer, AnswerKind, PendingRequest
-from wickgw.net.sockets import BASE_MB, RESERVE, Connection, Sockets
+from wickgw.net.sockets import BASE_MEMORY_MB, RESERVED_DESCRIPTORS, Connection, Sockets
 
 SCENES: dict[str, str] = {
-    # A request's life.
-    "what a peer made is the answer, and the request is passed on unchanged": """
+    # Requests that succeed.
+    "the worker's result is the answer, and the request is forwarded unchanged": """
         a send job 7 once 3000 "a body"
         w0 expect ^POST /once\\?x=1 HTTP/1.1\\r\\n
         w0 expect Req-Id: 7\\r\\n
@@ -31,7 +31,7 @@
         node wait try.ok 1
         node wait owed 0
     """,
-    "the connection to a peer is used again, the client's too": """
+    "connections to workers and clients are reused": """
         a send job 1
         w0 gets 1
         w0 send serve 1
@@ -42,53 +42,53 @@
         a expect 200 OK.*made
         node wait peer_connections_opened 1
     """,
-    "requests that come together are answered in order": """
+    "pipelined requests are answered in order": """
         a send raw "GET /-/ready HTTP/1.1~Host: x~~GET /-/healthy HTTP/1.1~Host: x~~"
         a expect 200 OK.*ok\\n.*200 OK.*ok\\n
     """,
-    "a request in pieces is one request": """
+    "a request that arrives in pieces is reassembled": """
         a send raw "POST /once HTTP/1.1~Host: x~Req-Id: 5~Req-Dead"
         a send raw "line-Ms: 2000~Content-Length: 4~~ab"
         a send raw "cd"
         w0 expect abcd$
     """,
-    "a body in chunks goes on whole, with its length": """
+    "a chunked body is forwarded whole, with its length": """
         a send raw "POST /once HTTP/1.1~Host: x~Req-Id: 6~Req-Deadline-Ms: 2000~Transfer-Encoding: chunked~"
         a send raw "~2~ab~3;x~cde~0~~"
         w0 expect Content-Length: 5\\r\\n\\r\\nabcde$
         w0 send serve 6
         a expect ^HTTP/1.1 200 .*made
     """,
-    # How tries end.
-    "503 without the mark may have run: a job that must not run twice has failed": """
+    # Outcomes of attempts.
+    "503 without Srv-Declined may have run, so a non-idempotent job fails": """
         a send job 1 once
         w0 gets 1
         w0 send status 503
         a expect ^HTTP/1.1 502
         node wait try.error 1
     """,
-    "a request that a peer can't use has failed, and is sent to nobody else": """
+    "a request that a worker rejects as unusable fails without a retry": """
         a send job 1
         w0 gets 1
         w0 send status 400
         a expect ^HTTP/1.1 502
         node wait try.unusable 1
     """,
-    "a lost job is a reset": """
+    "a lost job counts as a reset": """
         a send job 1 once
         w0 gets 1
         w0 send last lost 1
         a expect ^HTTP/1.1 502
         node wait try.reset 1
     """,
-    "a connection that breaks after the request is a reset, not sent again by itself": """
+    "a connection that breaks after the request counts as a reset, without an automatic retry": """
         a send job 1 once
         w0 gets 1
         w0 close hard
         a expect ^HTTP/1.1 502
         node wait try.reset 1
     """,
-    "a response that ends before its last line is a reset": """
+    "a response without its final event counts as a reset": """
         a send job 1 once
         w0 gets 1
         w0 send take
@@ -96,32 +96,32 @@
         a expect ^HTTP/1.1 502
         node wait try.reset 1
     """,
-    "a peer that refuses the connection never ran it: it can be refused": """
+    "a refused connection means that the job never ran, so the request is refused": """
         w0 close
         a send job 1 once 700
         a expect ^HTTP/1.1 503 .*Retry-After
         node wait try.connect_failed 1
     """,
-    "a peer that can't be reached never ran it, even when the client's time ends first": """
+    "an unreachable worker never ran the job, even if the client's deadline comes first": """
         w0 jam
         a send job 1 once 150
         a expect ^HTTP/1.1 503
         node wait try.connect_failed 1
     """,
-    "a connection that never comes up is given up after the connect timeout": """
+    "a connection that does not open fails after the connect timeout": """
         w0 jam
         a send job 1 once 3000
         node wait try.connect_failed 1
         node wait owed 1
     """,
-    "silence is a time-out, answered before the client's time is up": """
+    "a silent worker times out before the client's deadline": """
         a send job 1 once 400
         w0 gets 1
         a expect ^HTTP/1.1 502
         node wait try.timeout 1
         w0 expect end
     """,
-    "the answer does not wait for the end of the framing": """
+    "the answer does not wait for the end of the response's framing": """
         a send job 1
         w0 gets 1
         w0 send take
@@ -129,9 +129,9 @@
         w0 send event done 1 result=made
         a expect 200 OK.*made
     """,
-    # Nonsense from peers.
+    # Malformed answers of workers.
     **{
-        f"{what} is an error of that try": f"""
+        f"{what} is an error of the attempt": f"""
         a send job 1 once
         w0 gets 1
         w0 send {message}
@@ -151,9 +151,9 @@
             "two framings": 'raw "HTTP/1.1 200 X~Transfer-Encoding: chunked~Content-Length: 9~~"',
         }.items()
     },
-    # Clients that are odd.
+    # Unusual clients.
     **{
-        f"{what}: {status}, and the connection lives": f"""
+        f"{what}: {status}, and the connection stays open": f"""
         a send {message}
         a expect ^HTTP/1.1 {status} .*\\r\\n\\r\\n.*\\n
         a send get /-/healthy
@@ -173,7 +173,7 @@
         )
     },
     **{
-        f"{what}: {status}, and the connection ends": f"""
+        f"{what}: {status}, and the connection closes": f"""
         a send raw "{text}"
         a expect ^HTTP/1.1 {status} .*Connection: close.*\\r\\n\\r\\n.*\\n
         a expect end
@@ -187,7 +187,7 @@
                 (f"length {text!r}", 400, f"POST / HTTP/1.1~Host: x~Content-Length: {text}~~")
                 for text in ("+1", "-1", "0x10", "many", "1, 1", "", "9" * 20)
             ),
-            ("a target that no peer reads", 400, "POST /look<x> HTTP/1.1~Host: x~~"),
+            ("a target with invalid characters", 400, "POST /look<x> HTTP/1.1~Host: x~~"),
             ("a target too long", 414, "POST /look?" + "x" * 3000 + " HTTP/1.1~Host: x~~"),
             ("a head too long", 431, "POST /look HTTP/1.1~X: " + "x" * 20000),
             ("both framings", 400, "POST / HTTP/1.1~Host: x~Content-Length: 1~Transfer-Encoding: chunked~~"),
@@ -197,7 +197,7 @@
             ("a folded field", 400, "GET / HTTP/1.1~Host: x~ y~~"),
         )
     },
-    "what still comes after the last answer is read, not reset": """
+    "input after the last answer is read, without a reset": """
         a send raw "POST / HTTP/1.1~Host: x~Content-Length: 99999~~"
         node wait rejected.413 1
         a send raw "more"
@@ -205,17 +205,17 @@
         a expect ^HTTP/1.1 413 .*body too large\\n
         a expect end
     """,
-    "60 MB that nobody wants are thrown away, and the answer is read": """
+    "an unwanted body of 60 MB is discarded, and the client can read its answer": """
         a send raw "POST / HTTP/1.1~Host: x~Content-Length: 60000000~~"
         a send bytes 60000000
         a expect ^HTTP/1.1 413 .*body too large\\n
         a expect end
     """,
-    "nobody waits longer than the class allows, whatever the client says": """
+    "the deadline of the class bounds the client's deadline": """
         a send job 1 once 999999999
         w0 expect Req-Deadline-Ms: [1-4]\\d\\d\\d\\r\\n
     """,
-    "an id that is in use is turned down, and the first keeps its answer": """
+    "a duplicate id is rejected, and the first request gets its answer": """
         a send job 1
         w0 gets 1
         b send job 1
@@ -223,14 +223,14 @@
         w0 send serve 1
         a expect 200 OK.*made
     """,
-    "who waits to be told to go on is told": """
+    "a client that expects 100 Continue gets it": """
         a send raw "POST /once HTTP/1.1~Host: x~Req-Id: 5~Req-Deadline-Ms: 2000~Content-Length: 2~"
         a send raw "Expect: 100-continue~~"
         a expect ^HTTP/1.1 100 Continue\\r\\n\\r\\n$
         a send raw "ab"
         w0 expect ab$
     """,
-    "a client that leaves: its try is followed to the end": """
+    "the attempt of a disconnected client is followed to its end": """
         a send job 1 once
         w0 gets 1
         a close
@@ -239,14 +239,14 @@
         node wait try.ok 1
         node wait tries_out 0
     """,
-    "a held request that finds no worker is refused with a time to come back": """
+    "a held request without a worker is refused with Retry-After": """
         a send job 1 look 600
         w0 gets 1
         b send job 2 look 600
         b expect ^HTTP/1.1 503 .*Retry-After: [0-9.]+\\r\\n
     """,
     # Discovery.
-    "a drained peer gets nothing from the moment it is told": """
+    "a draining worker gets no jobs once the drain is announced": """
         d expect GET /api/targets HTTP
         d send list 5 whole w0=draining w1
         d expect GET /api/targets\\?index=5&wait=\\d+ HTTP
@@ -257,7 +257,7 @@
         b send job 2
         w0 gets 2
     """,
-    "a peer that started anew gets its next job on a new connection": """
+    "a restarted worker gets its next job on a new connection": """
         a send job 1
         w0 gets 1
         w0 send serve 1
@@ -268,7 +268,7 @@
         a send job 2
         w0/2 gets 2
     """,
-    "an answer of an older version is not believed, and the list is kept": """
+    "a list of an older version is ignored": """
         d expect GET /api/targets HTTP
         d send list 5 whole w0
         d expect index=5&
@@ -277,7 +277,7 @@
         a send job 1
         w0 gets 1
     """,
-    "garbage and refusals from discovery are survived": """
+    "malformed and failed answers of discovery are retried": """
         d expect GET /api/targets HTTP
         d send raw "HTTP/1.1 200 OK~Content-Length: 2~~{]"
         d/2 expect GET /api/targets HTTP
@@ -290,25 +290,25 @@
         a send job 1
         w1 gets 1
     """,
-    # Reloading.
-    "a reload moves discovery: whole list there at once, though its versions are lower": """
+    # Reload.
+    "a reload changes discovery: the new whole list applies, despite its lower version": """
         d expect GET /api/targets HTTP
         d send list 50 whole w0
         d expect index=50&.*\\r\\n\\r\\n
         node reload e
         d expect end
         e expect GET /api/targets HTTP
-        a send job 1                        # the list is kept until the new one is in
+        a send job 1                        # the old list holds until the new one is read
         w0 gets 1
         e send list 3 whole w1
         e expect index=3&
         b send job 2
         w1 gets 2
-        w0 send serve 1                     # a try that is out goes on
+        w0 send serve 1                     # a running attempt goes on
         a expect 200 OK.*made
         node wait reloads 1
     """,
-    "a peer that discovery's new address names as before has not started anew": """
+    "a worker with the same start time at the new discovery has not restarted": """
         d expect GET /api/targets HTTP
         d send list 5 whole w0=ready@1700000000000
         d expect index=5&
@@ -321,9 +321,9 @@
         e send list 1 whole w0=ready@1700000000000
         e expect index=1&
         a send job 2
-        w0 gets 2                           # on the connection of before
+        w0 gets 2                           # on the existing connection
     """,
-    "a configuration that can't be used changes nothing": """
+    "an invalid configuration changes nothing": """
         d expect GET /api/targets HTTP
         d send list 5 whole w0
         d expect index=5&
@@ -334,7 +334,7 @@
         a send job 1
         w1 gets 1
     """,
-    "reloads one after the other, and back": """
+    "consecutive reloads, and a return to the first discovery": """
         d expect GET /api/targets HTTP
         d send list 5 whole w0
         d expect index=5&
@@ -344,14 +344,14 @@
         e/2 expect GET /api/targets HTTP
         node reload d
         d/2 expect GET /api/targets HTTP
-        node reload d                       # nothing new: the call that is out goes on
+        node reload d                       # unchanged: the open call goes on
         d/2 send list 2 whole w1
         d/2 expect index=2&
         a send job 1
         w1 gets 1
         node wait reloads 3
     """,
-    "a reload while draining still tells of peers that go": """
+    "a reload while draining still applies list changes": """
         d expect GET /api/targets HTTP
         d send list 5 whole w0
         d expect index=5&
@@ -365,8 +365,8 @@
         w1 send serve 1
         a expect ^HTTP/1.1 200 .*made$
     """,
-    # Ending.
-    "draining: not ready, but clients are served on for a while, on old connections and new ones": """
+    # Shutdown.
+    "draining: not ready, but old and new connections are served for a while": """
         a send job 1
         w0 gets 1
         w0 send serve 1
@@ -379,9 +379,9 @@
         w0 send serve 2
         a expect ^HTTP/1.1 200 OK\\r\\nContent-Length: 4\\r\\nContent-Type: [^\\r]+\\r\\n\\r\\nmade$
         b close
-        a expect end                        # in the end all idle connections are closed
+        a expect end                        # finally all idle connections are closed
     """,
-    "draining: what was taken is answered, the answer is the connection's last": """
+    "draining: accepted requests are answered, and each answer closes its connection": """
         a send job 1 once 5000
         w0 gets 1
         node drain
@@ -394,9 +394,9 @@
     """,
 }
 
-# Scenes with two peers; `p` is whichever was chosen.
-TWO_PEERS: dict[str, str] = {
-    "a peer that declines has not run it: it is sent again": """
+# Scenes with two workers; `p` is the one that was chosen.
+TWO_WORKER_SCENES: dict[str, str] = {
+    "a declined job has not run, so it is retried": """
         a send job 1 once
         p gets 1
         p send status 503 "Srv-Declined: 1"
@@ -405,7 +405,7 @@
         p/2 send serve 1
         a expect 200 OK
     """,
-    "handed back unstarted is the same": """
+    "a job that is handed back unstarted is retried": """
         a send job 1 once
         p gets 1
         p send last returned 1
@@ -413,21 +413,21 @@
         p/2 send serve 1
         a expect 200 OK
     """,
-    "a failed job that is safe to repeat is repeated": """
+    "a failed idempotent job is retried": """
         a send job 1
         p gets 1
         p send last failed 1
         node wait try.error 1
         p/2 gets 1
     """,
-    "a request that broke before it was written goes elsewhere": """
+    "a request that could not be sent goes to another worker": """
         w0 close
         a send job 1 once
         w1 gets 1
         w1 send serve 1
         a expect 200 OK.*made
     """,
-    "a copy of a job that waits: the one that still waits is given up when the other begins": """
+    "of two hedged attempts, the one that still waits is cancelled when the other starts": """
         a send job 1
         p gets 1
         p/2 gets 1
@@ -442,12 +442,12 @@
 
 
 @pytest.fixture(autouse=True)
-def patient_discovery(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A machine that is slow for a moment must not pass for a discovery that is silent."""
+def long_connect_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Raise the connect timeout, so that a slow test machine does not look like a silent discovery."""
     monkeypatch.setattr(watch_timing, "CONNECT_TIMEOUT_S", 30.0)
 
 
-def played(text: str, **options: Any) -> None:
+def play_scene(text: str, **options: Any) -> None:
     scene = Scene(**options)
     try:
         scene.play(text)
@@ -457,16 +457,16 @@
 
 @pytest.mark.parametrize("text", SCENES.values(), ids=SCENES.keys())
 def test_scene(text: str) -> None:
-    played(text)
+    play_scene(text)
 
 
-@pytest.mark.parametrize("text", TWO_PEERS.values(), ids=TWO_PEERS.keys())
-def test_scene_with_two_peers(text: str) -> None:
-    played(text, known="w0 w1", **{"second-copies": True})
+@pytest.mark.parametrize("text", TWO_WORKER_SCENES.values(), ids=TWO_WORKER_SCENES.keys())
+def test_scene_with_two_workers(text: str) -> None:
+    play_scene(text, known="w0 w1", **{"second-copies": True})
 
 
-def test_ready_only_once_a_list_is_held() -> None:
-    played(
+def test_not_ready_without_a_worker_list() -> None:
+    play_scene(
         """
         a send get /-/ready
         a expect ^HTTP/1.1 503
@@ -480,36 +480,36 @@
     )
 
 
-def test_more_clients_than_descriptors_close_what_idles() -> None:
+def test_clients_beyond_the_limit_evict_idle_connections() -> None:
     scene = Scene(descriptors=32)
     try:
-        for n in range(scene.node.sockets.for_clients + 5):
-            scene.play(f"c{n} send get /-/healthy\nc{n} expect ^HTTP/1.1 200 .*ok\\n")
+        for number in range(scene.node.sockets.max_client_connections + 5):
+            scene.play(f"c{number} send get /-/healthy\nc{number} expect ^HTTP/1.1 200 .*ok\\n")
         scene.play("c0 expect end\na send job 1\nw0 gets 1\nw0 send serve 1\na expect 200 OK")
     finally:
         scene.close()
 
 
-@pytest.mark.parametrize("half", ["", "send raw 'POST /look HTTP/1.1~Ho'"])
-def test_hundreds_that_bring_no_job_close_nobody_out(half: str) -> None:
-    """A client that has brought a job keeps its connection, and a new one gets in, in a flood of others."""
+@pytest.mark.parametrize("partial_request", ["", "send raw 'POST /look HTTP/1.1~Ho'"])
+def test_silent_connections_do_not_displace_active_clients(partial_request: str) -> None:
+    """In a flood of connections without jobs, a client with jobs stays connected and a new one gets in."""
     scene = Scene(descriptors=32)
     try:
         scene.play("a send job 1\nw0 gets 1\nw0 send serve 1\na expect 200 OK.*made")
-        for n in range(3 * scene.node.sockets.for_clients):
-            scene.play(f"c{n} open\n" + (f"c{n} {half}" if half else ""))
+        for number in range(3 * scene.node.sockets.max_client_connections):
+            scene.play(f"c{number} open\n" + (f"c{number} {partial_request}" if partial_request else ""))
         scene.play("b send job 2\nw0 gets 2\nw0 send serve 2\nb expect 200 OK.*made")
         scene.play("a send job 3\nw0 gets 3\nw0 send serve 3\na expect 200 OK.*made\nnode wait evicted 1")
     finally:
         scene.close()
 
 
-def test_bad_clients_are_told_or_closed_soon_and_idle_usual_ones_are_not(
+def test_stalled_clients_are_rejected_or_closed_and_idle_active_ones_are_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(clients, "PATIENCE", 0.3)
-    monkeypatch.setattr(clients, "SWEEP", 0.02)
-    played(
+    monkeypatch.setattr(clients, "REQUEST_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(clients, "SWEEP_INTERVAL_S", 0.02)
+    play_scene(
         """
         a send job 1
         w0 gets 1
@@ -524,42 +524,42 @@
         d0 expect 200 OK.*ok\\n
         d0 expect end
         node wait silent 2
-        a send raw "POST /look HTTP/1.1~"   # idle all the while; now it sends half a request, too
+        a send raw "POST /look HTTP/1.1~"   # idle until now; then it sends half a request, too
         a expect ^HTTP/1.1 408 .*\\r\\n\\r\\n.*\\n
         a expect end
         """
     )
 
 
-def test_first_bytes_that_come_late_give_no_more_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Who says nothing, then sends half a request, is owed an error by the time of its connecting."""
+def test_late_first_bytes_do_not_extend_the_request_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The timeout of a first request counts from connecting, not from its first byte."""
     scene = Scene()
     try:
         scene.play("a open\nnode wait client_connections 1")
         connection = next(iter(scene.node.clients.connections))
-        opened = connection.since
+        opened = connection.waiting_since
         scene.play("a send raw 'POST'\nb send get /-/healthy\nb expect 200 OK")
-        assert connection.partial and connection.since == opened
+        assert connection.has_partial_request and connection.waiting_since == opened
     finally:
         scene.close()
 
 
-def test_clients_beyond_the_limit_wait_until_one_is_answered() -> None:
+def test_clients_beyond_the_limit_wait_for_a_free_connection() -> None:
     scene = Scene(descriptors=32)
     try:
-        busy = scene.node.sockets.for_clients = 8
-        for n in range(busy):
+        limit = scene.node.sockets.max_client_connections = 8
+        for n in range(limit):
             scene.play(f"c{n} send job {n} once\nw0/{n} gets {n}")
             scene.play(f"w0/{n} send take\nw0/{n} send event started {n}\nnode wait taken {n + 1}")
-        scene.play(f"c{busy} send job {busy} once\nw0/0 send done 0\nc0 expect 200 OK.*made\nc0 expect end")
-        scene.play(f"w0/0 gets {busy}\nw0/0 send serve {busy}\nc{busy} expect 200 OK.*made")
+        scene.play(f"c{limit} send job {limit} once\nw0/0 send done 0\nc0 expect 200 OK.*made\nc0 expect end")
+        scene.play(f"w0/0 gets {limit}\nw0/0 send serve {limit}\nc{limit} expect 200 OK.*made")
     finally:
         scene.close()
 
 
-def test_try_without_a_descriptor_has_never_run_and_is_held_until_there_is_one() -> None:
+def test_attempt_without_a_descriptor_never_ran_and_its_request_is_held() -> None:
     scene = Scene()
-    scene.node.sockets.for_workers = 1
+    scene.node.sockets.max_worker_connections = 1
     try:
         scene.play(
             """
@@ -578,13 +578,13 @@
         scene.close()
 
 
-def test_request_of_which_a_part_never_left_has_never_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With small buffers in the kernel the rest of a large body waits in the transport's."""
-    real = socket.socket.connect_ex
+def test_partly_unsent_request_counts_as_never_run(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Small kernel buffers keep the rest of a large body in the transport's buffer."""
+    original = socket.socket.connect_ex
 
     def connect_ex(sock: socket.socket, where: Any) -> int:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        return real(sock, where)
+        return original(sock, where)
 
     monkeypatch.setattr(socket.socket, "connect_ex", connect_ex)
     scene = Scene()
@@ -603,10 +603,10 @@
         scene.close()
 
 
-def test_silent_watch_is_given_up_and_begun_again_where_it_was(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_watch_is_reopened_at_the_same_version(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_timing, "WATCH_WAIT_S", 0.05)
     monkeypatch.setattr(watch_timing, "QUEUE_TIMEOUT_S", 1.5)
-    played(
+    play_scene(
         """
         d expect GET /api/targets HTTP
         d send list 5 whole w1
@@ -620,10 +620,11 @@
     )
 
 
-def test_silent_watch_is_opened_anew_at_once_however_many_dispatchers_there_are(
+def test_silent_watch_is_reopened_at_once_in_a_fleet_of_any_size(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Of 200 each pauses 3 to 7 s after a refusal. What a silent watch missed counts as told before that."""
+    """Each of 200 dispatchers pauses 3 to 7 s after a refusal, which would be too long after a silent watch:
+    a change that it missed counts as delivered before that."""
     monkeypatch.setattr(watch_timing, "WATCH_WAIT_S", 0.05)
     monkeypatch.setattr(watch_timing, "QUEUE_TIMEOUT_S", 0.1)
     assert watch_timing.backoff(1, 200) / 2 > 3.0
@@ -633,19 +634,19 @@
     try:
         scene.play("d send list 5 whole w1\nd expect index=5\nd/2 expect index=5")
         assert pauses == [(0, watch_timing.IMMEDIATE_RETRY_S)]
-        scene.play("d/2 close hard")  # refused or lost, it is no silence: the fleet's pause is kept
+        scene.play("d/2 close hard")  # a lost connection is not silence: the pause of the fleet applies
         end = time.monotonic() + 10
         while len(pauses) < 2 and time.monotonic() < end:
             scene.play("node wait taken 0")
-        assert pauses[1] == (2.0, 4.0)  # the fleet's, bounded by when a change counts as told
+        assert pauses[1] == (2.0, 4.0)  # of the fleet, bounded by the delivery time of a change
     finally:
         scene.close()
 
 
-def test_new_discovery_that_is_silent_at_first_is_asked_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_new_discovery_that_is_silent_at_first_is_called_again(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_timing, "CONNECT_TIMEOUT_S", 0.1)
     monkeypatch.setattr(watch_timing, "WHOLE_LIST_TIMEOUT_S", 0.2)
-    played(
+    play_scene(
         """
         node reload e
         e expect GET /api/targets HTTP.*\\r\\n\\r\\n
@@ -659,9 +660,9 @@
     )
 
 
-def test_restart_asks_only_for_what_changed_since_the_known_list() -> None:
-    """Most of a fleet that restarts at once would overbook discovery with whole lists."""
-    played(
+def test_restart_fetches_only_the_changes_since_the_known_list() -> None:
+    """A fleet that restarts at once would overload discovery with calls for whole lists."""
+    play_scene(
         """
         d expect GET /api/targets\\?index=7&wait=\\d+ HTTP
         d send list 9 part w0=gone w1
@@ -673,8 +674,8 @@
     )
 
 
-def test_known_list_newer_than_discovery_is_given_up_at_once() -> None:
-    played(
+def test_known_list_newer_than_that_of_discovery_is_replaced_at_once() -> None:
+    play_scene(
         """
         d expect index=70&
         d send list 3 part w1
@@ -688,9 +689,11 @@
     )
 
 
-def test_discovery_that_began_anew_is_believed_after_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "REBUILT_AFTER", 2)
-    played(
+def test_discovery_that_lost_its_state_is_accepted_after_several_lists(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(discovery, "OLDER_LISTS_BEFORE_RESET", 2)
+    play_scene(
         """
         d expect GET /api/targets HTTP
         d send list 50 whole w0
@@ -705,16 +708,16 @@
     )
 
 
-@pytest.mark.parametrize("how", ["", "hard"])
-def test_connection_that_ended_unseen_does_not_cost_the_next_job_its_try(how: str) -> None:
-    """The peer's end and the next job come in one turn of the loop, before it has read either."""
+@pytest.mark.parametrize("close_mode", ["", "hard"])
+def test_unread_close_of_an_idle_connection_does_not_fail_the_next_attempt(close_mode: str) -> None:
+    """The worker's close and the next job arrive in the same turn of the loop, before either is read."""
     scene, answers = Scene(), list[Answer]()
 
     async def end_and_take() -> None:
-        scene.play(f"w0 close {how}")
-        client = SimpleNamespace(answer=answers.append, has_left=lambda: False)
-        due = scene.loop.time() + 3.0
-        scene.node.dispatcher.take(PendingRequest("2", 1, due, Job("POST", "/once", b""), client))
+        scene.play(f"w0 close {close_mode}")
+        client = SimpleNamespace(answer=answers.append, has_disconnected=lambda: False)
+        deadline = scene.loop.time() + 3.0
+        scene.node.dispatcher.submit(PendingRequest("2", 1, deadline, Job("POST", "/once", b""), client))
 
     try:
         scene.play("a send job 1 once\nw0 gets 1\nw0 send serve 1\na expect 200 OK.*made")
@@ -726,47 +729,58 @@
 
 
 @pytest.mark.parametrize("descriptors, memory", [(192, 40), (256, 64), (384, 80), (1024, 192)])
-def test_limits_leave_room_for_usual_clients_and_for_tries(descriptors: int, memory: int) -> None:
+def test_limits_leave_room_for_typical_clients_and_for_attempts(descriptors: int, memory: int) -> None:
     async def limits() -> tuple[int, int]:
         sockets = Sockets(asyncio.get_running_loop(), descriptors, memory)
         sockets.close()
-        return sockets.for_clients, sockets.for_workers
-
-    ours, peers = asyncio.run(limits())
-    assert ours > descriptors / 3 and peers > 50
-    assert ours + peers + RESERVE <= descriptors
-    # A sixth of the connections at their bounds (144 KB a client's, 148 KB a peer's), and what each holds.
-    assert BASE_MB + (ours * (3 + 144 / 6) + peers * (6 + 148 / 6)) * 1024 / 1e6 <= memory
+        return sockets.max_client_connections, sockets.max_worker_connections
+
+    client_connections, worker_connections = asyncio.run(limits())
+    assert client_connections > descriptors / 3 and worker_connections > 50
+    assert client_connections + worker_connections + RESERVED_DESCRIPTORS <= descriptors
+    # A sixth of the connections with full buffers (client: 144 KB, worker: 148 KB), and the objects of all.
+    assert (
+        BASE_MEMORY_MB
+        + (client_connections * (3 + 144 / 6) + worker_connections * (6 + 148 / 6)) * 1024 / 1e6
+        <= memory
+    )
 
 
-def test_attempt_that_has_begun_or_ended_is_not_held_as_one_that_opens() -> None:
-    """It would hold its request and its body for as long as its worker gets no other connection."""
+def test_started_or_ended_attempt_is_not_kept_as_waiting() -> None:
+    """Its request and body would stay in memory until the worker gets another connection."""
     scene = Scene()
     try:
-        opening = scene.node.pools.servers[""].connections.opening
+        waiting_attempts = scene.node.pools.servers[""].connections.waiting_attempts
         scene.play("a send job 1\nw0 gets 1")
-        assert not opening
+        assert not waiting_attempts
         scene.play("w0 send serve 1\na expect 200 OK.*made\nnode wait owed 0")
-        assert not opening
+        assert not waiting_attempts
     finally:
         scene.close()
 
 
-def test_memory_of_a_long_list_is_not_given_to_connections() -> None:
+def test_memory_of_a_long_list_is_not_available_for_connections() -> None:
     async def limits(workers: int) -> tuple[int, int]:
         sockets = Sockets(asyncio.get_running_loop(), 1024, 56)
-        sockets.list_has(workers)
+        sockets.set_listed_workers(workers)
         sockets.close()
-        return sockets.for_clients, sockets.for_workers
+        return sockets.max_client_connections, sockets.max_worker_connections
 
-    ours, peers = asyncio.run(limits(3200))
+    client_connections, worker_connections = asyncio.run(limits(3200))
     listed_mb = 3200 * 1.7 / 1000
-    assert BASE_MB + listed_mb + (ours * (3 + 144 / 6) + peers * (6 + 148 / 6)) * 1024 / 1e6 <= 56
-    assert (ours, peers) < asyncio.run(limits(200)) and min(ours, peers) > 50
+    assert (
+        BASE_MEMORY_MB
+        + listed_mb
+        + (client_connections * (3 + 144 / 6) + worker_connections * (6 + 148 / 6)) * 1024 / 1e6
+        <= 56
+    )
+    assert (client_connections, worker_connections) < asyncio.run(limits(200)) and min(
+        client_connections, worker_connections
+    ) > 50
 
 
-def test_flood_of_clients_does_not_delay_a_try(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Making a transport takes turns of the loop; hundreds of accepted sockets may wait for theirs."""
+def test_flood_of_clients_does_not_delay_an_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Opening a transport takes several loop turns, and hundreds of accepted sockets may wait for that."""
     opened = list[socket.socket]()
 
     async def open_all() -> None:
@@ -774,32 +788,32 @@
 
         async def create_connection(_: Any, sock: socket.socket) -> None:
             opened.append(sock)
-            if sock is not peer:
+            if sock is not worker_socket:
                 await asyncio.Event().wait()
 
         monkeypatch.setattr(loop, "create_connection", create_connection)
         sockets = Sockets(loop, 1024, 192)
-        with socket.socket() as client, socket.socket() as peer:
+        with socket.socket() as client, socket.socket() as worker_socket:
             for _ in range(20):
-                sockets.adopt(client, Connection(), side="clients")
-            sockets.adopt(peer, Connection())
+                sockets.open_transport(client, Connection(), side="clients")
+            sockets.open_transport(worker_socket, Connection())
             for _ in range(5):
                 await asyncio.sleep(0)
             sockets.close()
-            assert peer in opened
+            assert worker_socket in opened
 
     asyncio.run(open_all())
 
 
-def test_error_on_accept_does_not_end_the_listening(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_listener_survives_an_error_on_accept(monkeypatch: pytest.MonkeyPatch) -> None:
     scene, errors = Scene(), [OSError(errno.EMFILE, "Too many open files")]
-    real = socket.socket.accept
+    original = socket.socket.accept
 
     def accept(listener: socket.socket) -> Any:
-        own = scene.node.clients.listener
-        if own is not None and listener is own.sock and errors:
+        node_listener = scene.node.clients.listener
+        if node_listener is not None and listener is node_listener.sock and errors:
             raise errors.pop()
-        return real(listener)
+        return original(listener)
 
     monkeypatch.setattr(socket.socket, "accept", accept)
     try:
@@ -808,7 +822,7 @@
         scene.close()
 
 
-def test_error_that_nobody_foresaw_ends_one_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unexpected_error_closes_only_one_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     scene = Scene()
     monkeypatch.setattr(scene.node.clients, "report", lambda: 1 // 0)
     try:
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -1,4 +1,4 @@
-"""Routes in service, on real sockets: agreement with the checker, pools apart, drains, reloads, spelling."""
+"""Routing on real sockets: agreement with the checker, separate pools, drains, reloads, path spelling."""
 
 import random
 import threading
@@ -14,19 +14,21 @@
 from wickgw.routing import normal
 from wickgw.routing.match import Request
 
-POOLS = "[pool:east]\nzone = east\n[pool:west]\nzone = west\n"
-PLAIN = POOLS + "[route:look]\nclass = look\npools = east west\n[route:once]\nclass = once\npools = west\n"
+TWO_POOLS = "[pool:east]\nzone = east\n[pool:west]\nzone = west\n"
+TWO_POOL_ROUTES = (
+    TWO_POOLS + "[route:look]\nclass = look\npools = east west\n[route:once]\nclass = once\npools = west\n"
+)
 
 
 @pytest.fixture
 def serving(tmp_path: Path) -> Iterator[Serving]:
-    serving = Serving(tmp_path, PLAIN)
+    serving = Serving(tmp_path, TWO_POOL_ROUTES)
     yield serving
     serving.close()
 
 
 def test_checker_and_dispatcher_agree_on_random_tables(tmp_path: Path) -> None:
-    """The table that the checker asks, read from the file, and the process that serves from that file."""
+    """Both read the table from the same file."""
     rng = random.Random(8)
     hosts = ("a.example.org", "b.example.org", "*.example.org")
     paths = (
@@ -36,12 +38,12 @@
         "class = look once",
         "path = /once/",
     )
-    serving = Serving(tmp_path, PLAIN)
+    serving = Serving(tmp_path, TWO_POOL_ROUTES)
     try:
         for _ in range(20):
-            text = POOLS
-            for k in range(4):
-                text += f"[route:r{k}]\n{rng.choice(paths)}\npools = {rng.choice(ZONES)}\npriority = {k}\n"
+            text = TWO_POOLS
+            for n in range(4):
+                text += f"[route:r{n}]\n{rng.choice(paths)}\npools = {rng.choice(ZONES)}\npriority = {n}\n"
                 text += f"host = {rng.choice(hosts)}\n" if rng.random() < 0.6 else ""
                 text += f"zone = {rng.choice(ZONES)}\n" if rng.random() < 0.3 else ""
                 text += "header.X-Shop = present\n" if rng.random() < 0.3 else ""
@@ -55,33 +57,33 @@
                 zone = rng.choice((*ZONES, "nowhere"))
                 fields = {"Client_Zone": zone} | ({"X_Shop": "7"} if rng.random() < 0.5 else {})
                 headers = {"x-shop": "7"} if "X_Shop" in fields else {}
-                asked = Request(
+                routing_request = Request(
                     normal.host(host),
                     normal.path(path),
                     "POST",
                     zone if zone in ZONES else "east",
                     headers,
                 )
-                route = table.lookup(asked).route
+                route = table.lookup(routing_request).route
                 status, worker = serving.ask(path, host, **fields)
                 if route is None:
-                    assert status == 404 and not worker, (text, asked)
+                    assert status == 404 and not worker, (text, routing_request)
                 else:
-                    assert status == 200 and worker[0] == route.pools[0][0], (text, asked, worker)
+                    assert status == 200 and worker[0] == route.pools[0][0], (text, routing_request, worker)
     finally:
         serving.close()
 
 
-def test_no_route_is_404_and_counted_and_a_stray_percent_is_400(serving: Serving) -> None:
+def test_missing_route_is_404_and_counted_and_a_malformed_path_is_400(serving: Serving) -> None:
     assert serving.ask("/other")[0] == 404
     assert serving.ask("/look/%zz")[0] == 400
     counters = serving.report()["counters"]
     assert counters["routes.none"] == 1 and counters["rejected.400"] == 1  # type: ignore[index]
 
 
-def test_route_is_not_dodged_by_spelling_and_what_came_is_passed_on(tmp_path: Path) -> None:
+def test_path_spelling_does_not_change_the_route(tmp_path: Path) -> None:
     text = (
-        POOLS
+        TWO_POOLS
         + "[route:all]\npath_prefix = /\npools = west\n[route:look]\npath_prefix = /look/x\npools = east\n"
     )
     serving = Serving(tmp_path, text)
@@ -93,7 +95,7 @@
         serving.close()
 
 
-def test_drained_pool_hands_on_at_once_and_comes_back(serving: Serving) -> None:
+def test_drained_pool_fails_over_at_once_and_recovers(serving: Serving) -> None:
     assert serving.ask("/look")[1].startswith("e")
     serving.tell(e1="draining", e2="draining")
     assert {serving.ask("/look")[1][0] for _ in range(6)} == {"w"}
@@ -102,13 +104,15 @@
 
 
 def test_worker_that_changes_its_zone_changes_its_pool(serving: Serving) -> None:
-    real = serving.list
+    original = serving.list
 
     def moved(**states: str) -> dict[str, object]:
-        whole = real(**states)
+        whole = original(**states)
         targets = whole["targets"]
         assert isinstance(targets, list)
-        return whole | {"targets": [t | {"az": "west"} if t["uid"] == "e1" else t for t in targets]}
+        return whole | {
+            "targets": [target | {"az": "west"} if target["uid"] == "e1" else target for target in targets]
+        }
 
     serving.list = moved  # type: ignore[method-assign]
     serving.tell(w1="gone", w2="gone", e2="draining")
@@ -117,7 +121,7 @@
     assert serving.ask("/once") == (200, "e1") and serving.ask("/look") == (200, "e1")
 
 
-def test_every_pool_out_is_refused_by_the_module_with_when_to_come_back(serving: Serving) -> None:
+def test_request_without_a_usable_pool_is_refused(serving: Serving) -> None:
     serving.tell(w1="gone", w2="gone", e1="gone", e2="gone")
     status, worker = serving.ask("/once", **{"Req_Deadline_Ms": "300"})
     assert (status, worker) == (503, "")
@@ -126,7 +130,7 @@
     assert report["pools"]["west"]["counters"]["answer.refused"] == 1  # type: ignore[index]
 
 
-def test_same_worker_in_two_pools_is_counted_apart(tmp_path: Path) -> None:
+def test_worker_in_two_pools_is_counted_in_each(tmp_path: Path) -> None:
     text = "[pool:one]\nname = e1\n[pool:both]\nname = e1 w?\n[route:once]\nclass = once\npools = one\n"
     text += "[route:look]\nclass = look\npools = both\n"
     serving = Serving(tmp_path, text)
@@ -145,7 +149,7 @@
         serving.close()
 
 
-def test_model_and_group_choose(tmp_path: Path) -> None:
+def test_pool_is_chosen_by_model(tmp_path: Path) -> None:
     serving = Serving(tmp_path, "[pool:m]\nmodel = model-w2\n[route:r]\nclass = look once\npools = m\n")
     try:
         assert {serving.ask("/look")[1] for _ in range(4)} == {"w2"}
@@ -153,8 +157,8 @@
         serving.close()
 
 
-def in_hand(serving: Serving) -> tuple[threading.Thread, list[tuple[int, str]]]:
-    """A request that a worker is at; its answer once the thread has ended."""
+def start_request(serving: Serving) -> tuple[threading.Thread, list[tuple[int, str]]]:
+    """Start a request and wait until a worker runs it. The answer is there once the thread has ended."""
     answers: list[tuple[int, str]] = []
     thread = threading.Thread(target=lambda: answers.append(serving.ask("/look")), daemon=True)
     thread.start()
@@ -164,15 +168,15 @@
     return thread, answers
 
 
-def test_reload_that_empties_a_pool_leaves_requests_in_hand_to_their_table(tmp_path: Path) -> None:
-    serving = Serving(tmp_path, PLAIN, seconds=0.4)
+def test_open_requests_keep_their_table_when_a_reload_empties_their_pool(tmp_path: Path) -> None:
+    serving = Serving(tmp_path, TWO_POOL_ROUTES, seconds=0.4)
     try:
-        thread, answers = in_hand(serving)
-        serving.reload(PLAIN.replace("zone = east\n", "zone = nowhere\n", 1))
+        thread, answers = start_request(serving)
+        serving.reload(TWO_POOL_ROUTES.replace("zone = east\n", "zone = nowhere\n", 1))
         assert serving.report()["now"]["pools_retired"] == 1  # type: ignore[index]
         thread.join(PATIENCE)
         assert answers[0][0] == 200 and answers[0][1].startswith("e")
-        assert serving.ask("/look")[1].startswith("w"), "the emptied pool is out"
+        assert serving.ask("/look")[1].startswith("w"), "the empty pool is not used"
         end = time.monotonic() + PATIENCE
         while serving.report()["now"]["pools_retired"]:  # type: ignore[index]
             assert time.monotonic() < end
@@ -181,35 +185,35 @@
         serving.close()
 
 
-def test_reload_keeps_what_an_unchanged_pool_has_learned_and_a_bad_file_changes_nothing(
+def test_reload_keeps_unchanged_pools_and_an_invalid_file_changes_nothing(
     serving: Serving,
 ) -> None:
     serving.ask("/look")
     before = serving.node.pools.servers["east"]
-    serving.reload(PLAIN.replace("class = once\npools = west", "class = once\npools = east"))
+    serving.reload(TWO_POOL_ROUTES.replace("class = once\npools = west", "class = once\npools = east"))
     assert serving.node.pools.servers["east"] is before and serving.ask("/once")[1].startswith("e")
-    serving.reload(PLAIN.replace("pools = west", "pools = north"))
+    serving.reload(TWO_POOL_ROUTES.replace("pools = west", "pools = north"))
     assert serving.report()["counters"]["reloads.failed"] == 1  # type: ignore[index]
     assert serving.ask("/once")[1].startswith("e")
 
 
-def test_attempts_and_time_of_a_route_are_never_more_and_may_be_less(tmp_path: Path) -> None:
-    text = PLAIN.replace("class = look\n", "class = look\nattempts = 1\ntime_limit_ms = 150\n")
+def test_route_limits_attempts_and_time(tmp_path: Path) -> None:
+    text = TWO_POOL_ROUTES.replace("class = look\n", "class = look\nattempts = 1\ntime_limit_ms = 150\n")
     serving = Serving(tmp_path, text, seconds=5.0)
     try:
         start = time.monotonic()
         status, _ = serving.ask("/look")
         assert status in (502, 503) and time.monotonic() - start < 1.0
-        tries = [worker.runs for worker in serving.workers.values()]
-        assert sum(sum(runs.values()) for runs in tries) == 1
+        runs_by_worker = [worker.runs for worker in serving.workers.values()]
+        assert sum(sum(runs.values()) for runs in runs_by_worker) == 1
     finally:
         serving.close()
 
 
-def test_id_in_use_in_one_pool_is_in_use_in_all(tmp_path: Path) -> None:
-    serving = Serving(tmp_path, PLAIN, seconds=0.3)
+def test_request_id_is_unique_across_pools(tmp_path: Path) -> None:
+    serving = Serving(tmp_path, TWO_POOL_ROUTES, seconds=0.3)
     try:
-        thread, answers = in_hand(serving)
+        thread, answers = start_request(serving)
         other = Serving.__new__(Serving)
         import http.client
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Day-to-day service: calls on the second address, sending clients away, a socket passed by the platform."""
+"""Operation: calls on the management port, pausing, and a listening socket passed by the platform."""
 
 import json
 import os
@@ -10,63 +10,71 @@
 from scenario import FACTS, Scene
 
 from wickgw.config.relay import ConfigError, passed_socket, read_config
-from wickgw.service import calls as c
+from wickgw.service import calls as service_calls
 
-# The core, without sockets.
+# Without sockets.
 
 
-def test_a_whole_call_is_asked_once_and_what_follows_is_not_read() -> None:
-    calls = c.Calls(most=4)
-    calls.handle(c.Opened(1), 0.0)
-    assert calls.handle(c.Read(1, b"STA"), 0.1) == []
-    assert calls.handle(c.Read(1, b"TUS\r\nPAUSE\n"), 0.2) == [c.Ask(1, c.Call.STATUS)]
-    assert calls.handle(c.Read(1, b"RESUME\n"), 0.3) == []
+def test_call_is_executed_once_and_further_input_is_ignored() -> None:
+    calls = service_calls.Calls(max_callers=4)
+    calls.handle(service_calls.Opened(1), 0.0)
+    assert calls.handle(service_calls.Read(1, b"STA"), 0.1) == []
+    assert calls.handle(service_calls.Read(1, b"TUS\r\nPAUSE\n"), 0.2) == [
+        service_calls.Execute(1, service_calls.Call.STATUS)
+    ]
+    assert calls.handle(service_calls.Read(1, b"RESUME\n"), 0.3) == []
 
 
 @pytest.mark.parametrize("line", [b"status\n", b"STOP\n", b"PAUSE NOW\n", b"\n"])
-def test_a_call_that_is_not_one_is_refused_at_once(line: bytes) -> None:
-    calls = c.Calls(most=4)
-    calls.handle(c.Opened(1), 0.0)
-    [action] = calls.handle(c.Read(1, line), 0.0)
-    assert isinstance(action, c.Refuse) and action.caller == 1
-
-
-def test_a_line_too_long_is_refused_before_its_end_and_nothing_of_it_is_kept() -> None:
-    calls = c.Calls(most=4)
-    calls.handle(c.Opened(1), 0.0)
-    assert calls.handle(c.Read(1, b"S" * c.LONGEST), 0.0) == []
-    [action] = calls.handle(c.Read(1, b"S" * 100_000), 0.0)
-    assert action == c.Refuse(1, "too long")
-    assert calls.callers[1].held == b""
-
-
-def test_a_caller_that_sends_nothing_or_half_is_answered_in_time_and_let_go_after() -> None:
-    calls = c.Calls(most=4)
-    calls.handle(c.Opened(1), 0.0)
-    calls.handle(c.Opened(2), 0.0)
-    calls.handle(c.Read(2, b"PAU"), 0.1)
-    assert calls.handle(c.Tick(), c.ANSWER_WITHIN - 0.01) == []
-    refused = calls.handle(c.Tick(), c.ANSWER_WITHIN)
-    assert refused == [c.Refuse(1, "not whole in time"), c.Refuse(2, "not whole in time")]
-    assert c.ANSWER_WITHIN < 1.0
-    assert calls.handle(c.Tick(), c.ANSWER_WITHIN + c.LINGER) == [c.Drop(1), c.Drop(2)]
-    assert not calls.callers and calls.next_due() is None
-
-
-def test_a_crowd_of_callers_lets_the_answered_go_first_then_the_oldest() -> None:
-    calls = c.Calls(most=3)
-    for n in range(3):
-        calls.handle(c.Opened(n), 0.0)
-    calls.handle(c.Read(1, b"STATUS\n"), 0.1)
-    assert calls.handle(c.Opened(3), 0.2) == [c.Drop(1)]
-    assert calls.handle(c.Opened(4), 0.3) == [c.Drop(0)]
+def test_unknown_call_is_refused_at_once(line: bytes) -> None:
+    calls = service_calls.Calls(max_callers=4)
+    calls.handle(service_calls.Opened(1), 0.0)
+    [action] = calls.handle(service_calls.Read(1, line), 0.0)
+    assert isinstance(action, service_calls.Refuse) and action.caller == 1
+
+
+def test_overlong_line_is_refused_before_its_end_and_not_kept() -> None:
+    calls = service_calls.Calls(max_callers=4)
+    calls.handle(service_calls.Opened(1), 0.0)
+    assert calls.handle(service_calls.Read(1, b"S" * service_calls.MAX_CALL_BYTES), 0.0) == []
+    [action] = calls.handle(service_calls.Read(1, b"S" * 100_000), 0.0)
+    assert action == service_calls.Refuse(1, "too long")
+    assert calls.callers[1].received == b""
+
+
+def test_silent_or_incomplete_caller_is_refused_and_disconnected() -> None:
+    calls = service_calls.Calls(max_callers=4)
+    calls.handle(service_calls.Opened(1), 0.0)
+    calls.handle(service_calls.Opened(2), 0.0)
+    calls.handle(service_calls.Read(2, b"PAU"), 0.1)
+    assert calls.handle(service_calls.Tick(), service_calls.ANSWER_TIMEOUT_S - 0.01) == []
+    refused = calls.handle(service_calls.Tick(), service_calls.ANSWER_TIMEOUT_S)
+    assert refused == [
+        service_calls.Refuse(1, "not whole in time"),
+        service_calls.Refuse(2, "not whole in time"),
+    ]
+    assert service_calls.ANSWER_TIMEOUT_S < 1.0
+    assert calls.handle(service_calls.Tick(), service_calls.ANSWER_TIMEOUT_S + service_calls.LINGER_S) == [
+        service_calls.Drop(1),
+        service_calls.Drop(2),
+    ]
+    assert not calls.callers and calls.next_deadline() is None
+
+
+def test_too_many_callers_evict_an_answered_one_first_then_the_oldest() -> None:
+    calls = service_calls.Calls(max_callers=3)
+    for caller in range(3):
+        calls.handle(service_calls.Opened(caller), 0.0)
+    calls.handle(service_calls.Read(1, b"STATUS\n"), 0.1)
+    assert calls.handle(service_calls.Opened(3), 0.2) == [service_calls.Drop(1)]
+    assert calls.handle(service_calls.Opened(4), 0.3) == [service_calls.Drop(0)]
     assert len(calls.callers) == 3
 
 
 # On sockets.
 
 SCENES = {
-    "a call on the second address is answered in one line, and the connection ends": """
+    "a call on the management port is answered in one line, and the connection closes": """
         m send raw "STATUS\\n"
         m expect ^ACK serving\\n$
         m expect end
@@ -77,7 +85,7 @@
         a send get /-/ready
         a expect 200 OK.*ok\\n
     """,
-    "PAUSE says no to the front, ends each connection after its answer, and RESUME takes clients again": """
+    "PAUSE fails the readiness check and closes each connection after its answer; RESUME undoes it": """
         a send get /-/ready
         a expect 200 OK.*ok\\n
         m send raw "PAUSE\\n"
@@ -99,7 +107,7 @@
         c send get /-/ready
         c expect ^HTTP/1.1 200 .*ok\\n
     """,
-    "a caller that sends half a call and stays is told no within a second, and others are not held up": """
+    "an incomplete call is refused within a second, and does not delay others": """
         m send raw "PAU"
         m2 send raw "STATUS\\n"
         m2 expect ^ACK serving
@@ -117,10 +125,10 @@
         scene.close()
 
 
-def test_paused_connections_that_idle_are_closed_after_the_grace(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pause_closes_idle_connections_after_the_grace_period(monkeypatch: pytest.MonkeyPatch) -> None:
     from wickgw.net import clients
 
-    monkeypatch.setattr(clients, "AWAY_GRACE", 0.0)
+    monkeypatch.setattr(clients, "PAUSE_GRACE_S", 0.0)
     scene = Scene(mgmt=True)
     try:
         scene.play("""
@@ -134,10 +142,10 @@
         scene.close()
 
 
-def test_a_passed_socket_is_served_and_left_open_for_the_other_process() -> None:
+def test_passed_socket_is_served_and_stays_open_for_the_other_process() -> None:
     platform = socket.create_server(("127.0.0.1", 0))
-    mine = os.dup(platform.fileno())  # as the platform gives each process a descriptor of its own
-    scene = Scene(mgmt=True, passed=mine)
+    own_descriptor = os.dup(platform.fileno())  # the platform gives each process its own descriptor
+    scene = Scene(mgmt=True, passed=own_descriptor)
     try:
         assert scene.where == platform.getsockname()
         scene.play("""
@@ -149,18 +157,18 @@
             a expect end
         """)
         scene.node.clients.stop_listening()
-        # This process's descriptor is closed; the platform's socket still listens, its queue whole.
+        # This process's descriptor is closed. The platform's socket still listens, with its queue intact.
         waiting = socket.create_connection(platform.getsockname(), 5)
         platform.settimeout(5)
-        taken, _ = platform.accept()
-        taken.close()
+        accepted, _ = platform.accept()
+        accepted.close()
         waiting.close()
     finally:
         scene.close()
         platform.close()
 
 
-def test_a_passed_descriptor_that_is_no_listening_socket_is_named() -> None:
+def test_passed_descriptor_that_is_no_listening_socket_is_reported() -> None:
     with tempfile.TemporaryFile() as file, pytest.raises(ConfigError, match=r"RELAY_PASSED_SOCKET: \d+: "):
         passed_socket(str(file.fileno()))
     connected = socket.socket()
@@ -179,12 +187,12 @@
 
 
 @pytest.mark.parametrize("mgmt", ["nowhere", "127.0.0.1:99999", "127.0.0.1"])
-def test_an_unusable_second_address_is_named_by_file_and_key(mgmt: str, tmp_path: Path) -> None:
+def test_invalid_management_address_is_reported_with_file_and_key(mgmt: str, tmp_path: Path) -> None:
     file = tmp_path / "config.json"
-    told = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": FACTS}
-    file.write_text(json.dumps(told))
+    configuration = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": FACTS}
+    file.write_text(json.dumps(configuration))
     assert read_config({"RELAY_CONFIG": str(file)}).mgmt is None
     assert read_config({"RELAY_CONFIG": str(file), "RELAY_MGMT": "127.0.0.1:7"}).mgmt == ("127.0.0.1", 7)
-    named = rf"^{file}: mgmt \(or RELAY_MGMT\): .*; HOST:PORT of IPv4 is allowed$"
-    with pytest.raises(ConfigError, match=named):
+    expected_message = rf"^{file}: mgmt \(or RELAY_MGMT\): .*; HOST:PORT of IPv4 is allowed$"
+    with pytest.raises(ConfigError, match=expected_message):
         read_config({"RELAY_CONFIG": str(file), "RELAY_MGMT": mgmt})
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -8,7 +8,7 @@
 from harness import KEYED, SAFE, Caller
 
 from wickgw import interface as i
-from wickgw.net.pool_server import ENTRIES_A_TURN
+from wickgw.net.pool_server import ENTRIES_PER_TURN
 from wickgw.standby import MEMBERS, MEMBERS_AN_ATTEMPT, MOST_LEARNED, Standby
 
 MANY = 3200
@@ -51,10 +51,10 @@
 
 
 def longest_call(c: Caller, listed: tuple[i.Entry, ...]) -> float:
-    """Processor time of the longest call while a list is told as a pool tells it, ENTRIES_A_TURN a call."""
+    """Processor time of the longest call while a list is told as a pool tells it, ENTRIES_PER_TURN a call."""
     longest = 0.0
-    for first in range(0, len(listed), ENTRIES_A_TURN):
-        event = i.WorkerList(i.ListKind.UPDATE, listed[first : first + ENTRIES_A_TURN])
+    for first in range(0, len(listed), ENTRIES_PER_TURN):
+        event = i.WorkerList(i.ListKind.UPDATE, listed[first : first + ENTRIES_PER_TURN])
         began = time.thread_time()
         c.balancer.handle(event, c.now)
         longest = max(longest, time.thread_time() - began)
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -1,4 +1,4 @@
-"""Terms of the standing test that go before older ones, each on real connections with its order forced."""
+"""Guarantees of the dispatcher on real connections, each with a forced order of events."""
 
 import asyncio
 import contextlib
@@ -14,21 +14,21 @@
 
 import pytest
 from scenario import MS, PATIENCE, Scene
-from test_endings import standing_still
+from test_endings import blocked_loop
 
 from wickgw.emulator.group import Instances
 from wickgw.emulator.roster import Roster
 from wickgw.net import spare_socket, watch_timing
 
-TWO_HUNDRED: dict[str, Any] = {"discovery": "ask", "siblings": 200}
-LOADING_S = 0.5  # from listening to the first look at the queue
-LATE_START_S = 0.2  # until a job begins, where the aim is 0.2 s: its worker takes no second one
-SCALE = 0.3  # of the watch's times in scenes that wait them out
-READY_WITHIN_S, NINE_IN_TEN = 10.0, 0.9
+TWO_HUNDRED_DISPATCHERS: dict[str, Any] = {"discovery": "ask", "siblings": 200}
+LOADING_TIME_S = 0.5  # from listening to the first accept
+LATE_JOB_START_S = 0.2  # until a job starts; the aim is 0.2 s, so its worker gets no second one
+TIME_SCALE = 0.3  # factor for the watch's times in scenes that wait for them
+READY_TIMEOUT_S, READY_SHARE = 10.0, 0.9
 
 
 @contextlib.contextmanager
-def scene_of(**options: Any) -> Iterator[Scene]:
+def running_scene(**options: Any) -> Iterator[Scene]:
     scene = Scene(**options)
     try:
         yield scene
@@ -36,26 +36,26 @@
         scene.close()
 
 
-# A change counts as told 6 s after discovery had it and could be reached.
+# A change counts as delivered 6 s after discovery had it and was reachable.
 
 
-def shorten(monkeypatch: pytest.MonkeyPatch, scale: float) -> None:
-    """All times of the watch, and the moments in which a change counts as told, in the same proportion."""
+def scale_watch_times(monkeypatch: pytest.MonkeyPatch, scale: float) -> None:
+    """Multiply all times of the watch and the delivery times of changes by the same factor."""
     for name, value in list(vars(watch_timing).items()):
         if name.endswith("_S"):
             monkeypatch.setattr(watch_timing, name, value * scale)
 
 
 @pytest.mark.parametrize("failure", ["reset", "refused", "silent"])
-def test_change_right_after_a_failed_call_is_acted_on_within_six_seconds_and_the_grace(
+def test_change_after_a_failed_call_applies_within_six_seconds_and_the_grace_period(
     failure: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The longest pause is drawn each time; discovery knows of the drain the moment after the failure, or
-    after a watch opened that stays silent; and a call after a failure queues for most of what it may."""
+    """The worst case: each pause has its longest value, the worker drains right after the failure or after
+    the opening of a silent watch, and the call after a failure queues for most of its timeout."""
     monkeypatch.setattr(random, "uniform", lambda shortest, longest: longest)
-    shorten(monkeypatch, SCALE)
-    grace = {"rules": {"drain-grace-ns": int(2000 * SCALE) * MS}}
-    with scene_of(known="w0 w1", version=5, facts=TWO_HUNDRED | grace) as scene:
+    scale_watch_times(monkeypatch, TIME_SCALE)
+    grace = {"rules": {"drain-grace-ns": int(2000 * TIME_SCALE) * MS}}
+    with running_scene(known="w0 w1", version=5, facts=TWO_HUNDRED_DISPATCHERS | grace) as scene:
         scene.play("d expect index=5&")
         began = time.monotonic()
         if failure == "reset":
@@ -66,127 +66,129 @@
         if failure != "silent":
             time.sleep(0.8 * watch_timing.WHOLE_LIST_TIMEOUT_S)
         scene.play("d/2 send list 6 part w0=draining\nd/2 expect index=6&")
-        assert time.monotonic() - began < watch_timing.TOLD_AFTER_S + scene.node.config.settings.drain_grace
+        assert (
+            time.monotonic() - began < watch_timing.CHANGE_DELIVERY_S + scene.node.config.settings.drain_grace
+        )
         scene.play("a send job 1\nw1 gets 1")
 
 
-def test_call_that_queues_after_a_failure_keeps_its_place(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Given up after 2.5 s it would cost an overloaded discovery its work, and be queued once more."""
+def test_call_after_a_failure_keeps_its_place_in_the_queue(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A call cancelled after 2.5 s would cost an overloaded discovery the work, and queue once more."""
     monkeypatch.setattr(random, "uniform", lambda shortest, longest: shortest / 20)
-    with scene_of(known="w0 w1", version=5, facts=TWO_HUNDRED) as scene:
+    with running_scene(known="w0 w1", version=5, facts=TWO_HUNDRED_DISPATCHERS) as scene:
         scene.play("d expect index=5&\nd close hard\nd/2 expect index=5&")
         call = scene.node.discovery.timing.watch_after_failure
-        assert call.silence >= watch_timing.QUEUE_TIMEOUT_S + watch_timing.CONNECT_TIMEOUT_S
+        assert call.answer_timeout >= watch_timing.QUEUE_TIMEOUT_S + watch_timing.CONNECT_TIMEOUT_S
         assert call.wait < scene.node.discovery.timing.watch.wait
         scene.play("d/2 send list 6 part w0=draining\nd/2 expect index=6&wait=4200 HTTP")
 
 
-# No attempt begins after its client has closed.
+# No attempt is sent after its client has disconnected.
 
 
-def leave(scene: Scene, how: str) -> None:
-    if how == "half":
+def close_client(scene: Scene, close_mode: str) -> None:
+    if close_mode == "half":
         scene.connections["a"].shutdown(socket.SHUT_WR)
         return
-    if how == "ahead":
+    if close_mode == "ahead":
         scene.play('a send raw "POST /look HTTP/1.1~Host: x~"')
-    scene.play("a close hard" if how == "reset" else "a close")
+    scene.play("a close hard" if close_mode == "reset" else "a close")
 
 
 def bytes_until(connection: socket.socket, wanted: bytes) -> bytes:
-    """What comes on a connection up to these bytes, or to its end."""
+    """Read from a connection until these bytes or its end."""
     data = b""
     while wanted not in data and (piece := connection.recv(65536)):
         data += piece
     return data
 
 
-@pytest.mark.parametrize("how", ["fin", "half", "reset", "ahead"])
-def test_retry_is_not_written_for_a_client_whose_end_waits_behind_the_failure(how: str) -> None:
-    """Both workers have an idle connection, so that a retry would be written in the turn of the failure."""
-    with scene_of() as scene:
+@pytest.mark.parametrize("close_mode", ["fin", "half", "reset", "ahead"])
+def test_retry_is_not_sent_if_the_disconnect_is_unread_behind_the_failure(close_mode: str) -> None:
+    """Both workers have an idle connection, so a retry could be sent in the loop turn of the failure."""
+    with running_scene() as scene:
         scene.play(
             "d send list 5 whole w0 w1\nd expect index=5\na send job 1\np gets 1\nb send job 2\np/2 gets 2"
         )
         scene.play("p send serve 1\na expect made\np/2 send serve 2\nb expect made\na send job 3 look 4000")
-        both = {scene.connections[name]: name for name in ("p", "p/2")}
-        first = both[select.select(list(both), (), (), PATIENCE)[0][0]]
-        other = next(sock for sock, name in both.items() if name != first)
+        worker_connections = {scene.connections[name]: name for name in ("p", "p/2")}
+        first = worker_connections[select.select(list(worker_connections), (), (), PATIENCE)[0][0]]
+        other = next(sock for sock, name in worker_connections.items() if name != first)
         scene.play(f"{first} gets 3")
-        with standing_still(scene):
+        with blocked_loop(scene):
             scene.play(f"{first} send last failed 3")
-            leave(scene, how)
+            close_client(scene, close_mode)
         scene.play("node wait answer.client_left 1\nnode wait owed 0\nb send job 4")
         assert b"Req-Id: 3" not in bytes_until(other, b"Req-Id: 4\r\n")
 
 
-@pytest.mark.parametrize("how", ["fin", "half", "reset", "ahead"])
-def test_held_request_is_not_written_for_a_client_whose_end_waits_behind_the_room(how: str) -> None:
-    """The worker's last job began late, so that the next one is held until that one has ended."""
-    with scene_of() as scene:
+@pytest.mark.parametrize("close_mode", ["fin", "half", "reset", "ahead"])
+def test_held_request_is_not_sent_if_the_disconnect_is_unread_when_a_worker_is_free(close_mode: str) -> None:
+    """The worker's last job started late, so the next one is held until its end."""
+    with running_scene() as scene:
         scene.play("d send list 5 whole w0\nd expect index=5\nb send job 1\nw0 gets 1\nw0 send serve 1")
         scene.play("b expect made\nb send job 2\nw0 gets 2")
         scene.play("a send job 3 once 4000\nnode wait owed 2\nnode wait tries 2")
-        time.sleep(LATE_START_S)
-        with standing_still(scene):
+        time.sleep(LATE_JOB_START_S)
+        with blocked_loop(scene):
             scene.play("w0 send serve 2")
-            leave(scene, how)
+            close_client(scene, close_mode)
         scene.play("b expect made\nnode wait answer.client_left 1\nnode wait owed 0\nb send job 4")
         assert b"Req-Id: 3" not in bytes_until(scene.connections["w0"], b"Req-Id: 4\r\n")
 
 
-# The time that an attempt tells its worker is at most what is left to the client.
+# The deadline sent to a worker is at most the client's remaining time.
 
 
-def test_request_that_waited_while_the_process_loaded_tells_its_worker_no_more_than_is_left() -> None:
-    """It lies in the listener's queue from the first moment; the process reads it LOADING_S later."""
-    with scene_of(loading=LOADING_S, early="1") as scene:
+def test_deadline_of_a_request_from_the_backlog_counts_the_time_of_loading() -> None:
+    """The request waits in the backlog from the start; the process reads it LOADING_TIME_S later."""
+    with running_scene(loading=LOADING_TIME_S, early="1") as scene:
         scene.play("d send list 5 whole w0\nw0 expect Req-Deadline-Ms: ")
         left = int(scene.unread["w0"].split(b"\r\n")[0])
-        assert left <= 3000 - 1000 * LOADING_S
+        assert left <= 3000 - 1000 * LOADING_TIME_S
         scene.play("w0 send serve 1\nearly expect made\nearly send job 2\nw0 expect Req-Deadline-Ms: ")
-        assert int(scene.unread["w0"].split(b"\r\n")[0]) > 3000 - 1000 * LOADING_S
+        assert int(scene.unread["w0"].split(b"\r\n")[0]) > 3000 - 1000 * LOADING_TIME_S
 
 
-def test_first_client_that_calls_long_after_the_start_has_all_its_time() -> None:
-    with scene_of(loading=LOADING_S) as scene:
+def test_first_request_long_after_the_start_has_its_whole_deadline() -> None:
+    with running_scene(loading=LOADING_TIME_S) as scene:
         scene.play("node wait client_connections 0\na send job 1 look 300\nw0 gets 1")
 
 
-def test_request_whose_time_was_over_before_it_was_read_is_refused_unsent() -> None:
-    with scene_of(loading=LOADING_S, early="1", patience_ms=200) as scene:
+def test_request_that_expired_in_the_backlog_is_refused_unsent() -> None:
+    with running_scene(loading=LOADING_TIME_S, early="1", patience_ms=200) as scene:
         scene.play("early expect HTTP/1.1 503")
         assert "tries" not in scene.node.dispatcher.counters
 
 
-# The list's connection has a descriptor of its own.
+# The connection to discovery has a reserved descriptor.
 
 
 async def refill(scene: Scene) -> None:
     scene.node.discovery.spare_socket.refill()
 
 
-def test_discovery_is_reached_while_clients_and_workers_hold_every_descriptor(
+def test_discovery_is_reachable_while_no_descriptor_is_left(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    full = [False]
-    real = spare_socket.open_socket
+    is_out_of_descriptors = [False]
+    original = spare_socket.open_socket
 
     def open_socket() -> socket.socket:
-        if full[0]:
+        if is_out_of_descriptors[0]:
             raise OSError(errno.EMFILE, "too many open files")
-        return real()
+        return original()
 
     monkeypatch.setattr(spare_socket, "open_socket", open_socket)
-    with scene_of(known="w0 w1", version=5) as scene:
+    with running_scene(known="w0 w1", version=5) as scene:
         scene.play("d expect index=5&")
         for loss in (2, 3):
-            full[0] = True  # from before the loss until the list is there again
+            is_out_of_descriptors[0] = True  # from before the loss until the list is watched again
             scene.play(
                 f"{'d' if loss == 2 else f'd/{loss - 1}'} close hard\nd/{loss} expect index={loss + 3}&"
             )
             scene.play(f"d/{loss} send list {loss + 4} part w0=draining\nd/{loss} expect index={loss + 4}&")
-            full[0] = False  # one is free for a moment: it goes into reserve with the next connection
+            is_out_of_descriptors[0] = False  # a descriptor is free for a moment and becomes the reserve
             asyncio.run_coroutine_threadsafe(refill(scene), scene.loop).result(PATIENCE)
         scene.play("a send job 1\nw1 gets 1")
 
@@ -194,25 +196,25 @@
 # Nine in ten restarted processes are ready within 10 s.
 
 
-def test_start_is_ready_within_ten_seconds_whenever_discovery_comes_back(
+def test_start_is_ready_within_ten_seconds_of_the_worst_recovery_of_discovery(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One of 200, without a known list, and with the longest pauses: discovery answers again at the moment
-    that is worst for it, just after a call has failed for the second time."""
+    """One of 200 dispatchers, without a known list and with the longest pauses. Discovery recovers at the
+    worst moment, right after the second failed call."""
     monkeypatch.setattr(random, "uniform", lambda shortest, longest: longest)
-    with scene_of(known="", facts=TWO_HUNDRED) as scene:
+    with running_scene(known="", facts=TWO_HUNDRED_DISPATCHERS) as scene:
         began = time.monotonic()
         scene.play(
             "d expect GET /api/targets HTTP\nd close hard\nd/2 expect GET /api/targets HTTP\nd/2 close hard"
         )
         scene.play("d/3 expect GET /api/targets HTTP\nd/3 send list 5 whole w0\nd/3 expect index=5")
         scene.play("r send get /-/ready\nr expect ^HTTP/1.1 200")
-        assert time.monotonic() - began < READY_WITHIN_S
+        assert time.monotonic() - began < READY_TIMEOUT_S
 
 
 def test_nine_in_ten_processes_restarted_together_are_ready_within_ten_seconds(tmp_path: Path) -> None:
-    """Seven real processes, killed and started at once, while discovery refuses; each has the list that it
-    knew before."""
+    """Seven real processes are killed and restarted at once while discovery refuses calls. Each has the list
+    that it knew before."""
     roster = Roster([])
     instances = Instances(tmp_path, 7, on=False, discovery=roster.endpoint)
     try:
@@ -224,16 +226,16 @@
             instances.processes[name].wait()
         began = time.monotonic()
         instances.start()
-        late = [ready - began > READY_WITHIN_S for ready in wait_until_ready(instances)]
-        assert sum(late) <= (1 - NINE_IN_TEN) * len(late)
+        late = [ready - began > READY_TIMEOUT_S for ready in wait_until_ready(instances)]
+        assert sum(late) <= (1 - READY_SHARE) * len(late)
     finally:
         instances.close()
         roster.close()
 
 
 def wait_until_ready(instances: Instances) -> list[float]:
-    """When each was ready, on the monotonic clock."""
-    ready, deadline = dict[str, float](), time.monotonic() + 3 * READY_WITHIN_S
+    """Return when each instance was ready, in seconds of the monotonic clock."""
+    ready, deadline = dict[str, float](), time.monotonic() + 3 * READY_TIMEOUT_S
     while len(ready) < len(instances.names):
         assert time.monotonic() < deadline, f"ready: {sorted(ready)}"
         for name in set(instances.names) - set(ready):
--- a/tests/test_subsetting_serve.py
+++ b/tests/test_subsetting_serve.py
@@ -72,7 +72,7 @@
     def is_reading(self) -> bool:
         """Whether a part of the list is not processed yet."""
         subset = self.pool.subset
-        return bool(self.pool._untold) or (subset is not None and not subset.subset.settled)
+        return bool(self.pool._queued_parts) or (subset is not None and not subset.subset.settled)
 
     def ready(self) -> set[str]:
         """Return the workers that the decision module may select, read on the event loop's thread."""
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -1,4 +1,4 @@
-"""Long lists of workers: read in parts, taken whole or not at all."""
+"""Long worker lists: parsed in steps, accepted whole or not at all."""
 
 import json
 
@@ -6,56 +6,56 @@
 from scenario import Scene
 
 from wickgw.net.dispatch import Clock
-from wickgw.net.worker_list import ENTRIES_AT_ONCE, ListError, ListReader
+from wickgw.net.worker_list import ENTRIES_PER_STEP, ListError, ListReader
 
 
 def entries(count: int, endpoint: str = "127.0.0.1:7070") -> list[dict[str, object]]:
     return [
-        {"uid": f"s-{n:04x}", "endpoint": endpoint, "az": "atlanta", "pod_group": 0, "state": "ready"}
+        {"uid": f"s-{number:04x}", "endpoint": endpoint, "az": "atlanta", "pod_group": 0, "state": "ready"}
         | {"boot_ms": 0}
-        for n in range(count)
+        for number in range(count)
     ]
 
 
-def text(version: int, *targets: dict[str, object]) -> str:
+def list_response(version: int, *targets: dict[str, object]) -> str:
     body = json.dumps({"rev": version, "all": True, "targets": targets}, indent=1)
     return f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}"
 
 
-def send(scene: Scene, who: str, version: int, *targets: dict[str, object]) -> None:
-    scene._at(who).sendall(text(version, *targets).encode())
+def send_list(scene: Scene, connection_name: str, version: int, *targets: dict[str, object]) -> None:
+    scene._at(connection_name).sendall(list_response(version, *targets).encode())
 
 
-def test_long_list_is_read_in_parts_and_is_the_same_as_in_one() -> None:
-    reader, count = ListReader(Clock(), ("atlanta",)), 2 * ENTRIES_AT_ONCE + 1
+def test_long_list_parsed_in_steps_equals_the_decoded_one() -> None:
+    reader, count = ListReader(Clock(), ("atlanta",)), 2 * ENTRIES_PER_STEP + 1
     body = json.dumps({"rev": 7, "all": True, "targets": entries(count)}).encode()
-    parts, steps = reader.begin(body), 1
-    while not parts.read_some():
-        assert len(parts.targets) == min(count, steps * ENTRIES_AT_ONCE)
+    parser, steps = reader.start(body), 1
+    while not parser.parse_some():
+        assert len(parser.targets) == min(count, steps * ENTRIES_PER_STEP)
         steps += 1
-    # The last entries are read in the third call; the answer is taken in a call of its own.
-    assert steps == 4 and parts.message() == reader.decode(json.loads(body))
+    # The third call parses the last entries. The list is accepted in a further call.
+    assert steps == 4 and parser.message() == reader.decode(json.loads(body))
 
 
-def test_short_list_is_read_in_one_call() -> None:
+def test_short_list_is_parsed_in_one_step() -> None:
     reader = ListReader(Clock(), ("atlanta",))
-    for count in (0, 1, ENTRIES_AT_ONCE):
+    for count in (0, 1, ENTRIES_PER_STEP):
         body = json.dumps({"rev": 7, "all": True, "targets": entries(count)}).encode()
-        parts = reader.begin(body)
-        assert parts.read_some() and len(parts.message().targets) == count
+        parser = reader.start(body)
+        assert parser.parse_some() and len(parser.message().targets) == count
 
 
 ENTRY = b'{"uid":"s-1","endpoint":"127.0.0.1:7070","az":%s,"state":"ready","boot_ms":0}'
 
 
 @pytest.mark.parametrize("zone", [b'"\xff\xfe"', b"[" * 100 + b"]" * 99, b"1e999", b"{", b'"\\ud800"'])
-def test_nonsense_inside_of_an_entry_is_an_error(zone: bytes) -> None:
+def test_malformed_entry_is_an_error(zone: bytes) -> None:
     body = b'{"rev":1,"all":true,"targets":[' + ENTRY % zone + b"]}"
     with pytest.raises(ListError):
-        ListReader(Clock(), ()).begin(body).read_some()
+        ListReader(Clock(), ()).start(body).parse_some()
 
 
-NONSENSE = (
+MALFORMED_LISTS = (
     b"",
     b"[]",
     b"7",
@@ -70,32 +70,32 @@
 )
 
 
-@pytest.mark.parametrize("body", NONSENSE)
-def test_what_is_no_list_is_an_error(body: bytes) -> None:
+@pytest.mark.parametrize("body", MALFORMED_LISTS)
+def test_malformed_list_is_an_error(body: bytes) -> None:
     with pytest.raises(ListError):
-        ListReader(Clock(), ()).begin(body)
+        ListReader(Clock(), ()).start(body)
 
 
-def test_list_whose_last_entry_is_nonsense_is_not_taken() -> None:
+def test_list_with_a_malformed_last_entry_is_not_accepted() -> None:
     scene = Scene(known="w0")
     try:
-        many = entries(3 * ENTRIES_AT_ONCE, scene.address("w1"))
+        long_list = entries(3 * ENTRIES_PER_STEP, scene.address("w1"))
         scene.play("d expect GET /api/targets HTTP.*\\r\\n\\r\\n")
-        send(scene, "d", 5, *many, {"uid": "s-last", "endpoint": "nowhere"})
+        send_list(scene, "d", 5, *long_list, {"uid": "s-last", "endpoint": "nowhere"})
         scene.play("d expect end")
-        scene.play("d/2 expect GET\na send job 1\nw0 gets 1")  # the list known at the start still holds
+        scene.play("d/2 expect GET\na send job 1\nw0 gets 1")  # the list known at the start is still in use
     finally:
         scene.close()
 
 
-def test_long_list_that_came_whole_is_taken_though_its_connection_ends() -> None:
+def test_complete_long_list_is_accepted_though_its_connection_closes() -> None:
     scene = Scene(known="")
     try:
-        many = entries(4 * ENTRIES_AT_ONCE, scene.address("w1"))
+        long_list = entries(4 * ENTRIES_PER_STEP, scene.address("w1"))
         scene.play("d expect GET /api/targets HTTP")
-        send(scene, "d", 5, *many)
+        send_list(scene, "d", 5, *long_list)
         scene.play("d close\nd/2 expect index=5&\na send job 1\nw1 gets 1")
         report = scene.node.report()
-        assert report["now"]["peers"] == len(many)  # type: ignore[index]
+        assert report["now"]["peers"] == len(long_list)  # type: ignore[index]
     finally:
         scene.close()
--- a/wickgw/address/driver.py
+++ b/wickgw/address/driver.py
@@ -24,11 +24,11 @@
 from wickgw.config.schema import AddressSettings, ServiceSettings
 from wickgw.net.clients import Clients, Listener
 from wickgw.net.dispatch import Clock
-from wickgw.net.listen import address as socket_address
-from wickgw.net.listen import listening
-from wickgw.observe import logger
+from wickgw.net.listen import open_listening_socket
+from wickgw.net.listen import parse_address as socket_address
+from wickgw.observe import get_logger
 
-log = logger("wickgw.address")
+log = get_logger("wickgw.address")
 MAX_DATAGRAMS_PER_READ = 64  # before other callbacks of the loop run
 SETTLE_S = 0.05  # how long a planned handover waits for requests that are just arriving
 SETTLE_POLL_S = 0.002
@@ -72,7 +72,7 @@
         )
         self.is_ready, self.reported_ready = is_ready, False
         self.member_endpoints = {name: socket_address(at) for name, at in settings.members.items()}
-        boot = int((clock.now() + clock.offset) * 1e6)
+        boot = int((clock.now() + clock.unix_offset) * 1e6)
         self.coordinator = Coordinator(coordinator_settings(settings, instance))
         self.codec = DatagramCodec(
             settings.group, instance, boot, tuple(self.member_endpoints), load_keys(settings)
@@ -180,7 +180,7 @@
 
     def status(self) -> dict[str, object]:
         """Return what this instance holds, knows and has counted."""
-        return self.coordinator.status(self.clock.awake()) | {
+        return self.coordinator.status(self.clock.boottime()) | {
             "wire": dict(sorted(self.codec.counters.items()))
         }
 
@@ -211,7 +211,7 @@
 
     def _handle(self, event: events.Event) -> None:
         """Pass an event to the coordinator and carry out the resulting actions."""
-        now = self.clock.awake()
+        now = self.clock.boottime()
         for action in self.coordinator.handle(event, now):
             if isinstance(action, events.PersistVotes):
                 if not self._persist(action):
@@ -230,7 +230,7 @@
             case events.Announce(name, term, lease_end):
                 local = self.local_addresses[name]
                 local.gate, local.withdrawing = (
-                    Gate(name, term, lease_end, self.clock.awake),
+                    Gate(name, term, lease_end, self.clock.boottime),
                     False,
                 )
                 self._queue_announcer_run(local, self._announce(local, local.gate))
@@ -240,7 +240,7 @@
             case events.HurryPending(name, term, lease_end):
                 if (gate := self.local_addresses[name].gate) and gate.term == term:
                     gate.hurried = True
-                    self.clients.hurry(gate, lease_end - now - ANSWER_MARGIN_S)
+                    self.clients.shorten_deadlines(gate, lease_end - now - ANSWER_MARGIN_S)
             case events.Withdraw(name, term):
                 local = self.local_addresses[name]
                 local.withdrawing = True
@@ -303,7 +303,7 @@
         if not why:
             try:
                 # The port is shared: the socket of a stalled holder must not keep its successor from binding.
-                sock = listening(local.endpoint, BACKLOG_CONNECTIONS, shared_port=True)
+                sock = open_listening_socket(local.endpoint, BACKLOG_CONNECTIONS, shared_port=True)
                 local.listener = Listener(self.clients, sock, gate)
             except OSError as error:
                 why = f"{local.settings.at}: {error.strerror}"
@@ -318,14 +318,16 @@
         gate = local.gate
         if gate is not None and gate.term == term:
             if local.listener is not None:
-                local.listener.close(last=gate.may_take())
+                local.listener.close(drain_backlog=gate.may_take())
                 local.listener = None
             finish_s = local.settings.finish_ms / 1000
             before = local.settings.finish == "before"
-            deadline = self.clock.awake() + (finish_s if before else SETTLE_S)
+            deadline = self.clock.boottime() + (finish_s if before else SETTLE_S)
             # Requests that are just arriving are still served here; with `before`, wait for pending ones too.
-            while gate.may_take() and self.clock.awake() < deadline:
-                if self.clients.settle(gate) and not (before and self.clients.through(gate)):
+            while gate.may_take() and self.clock.boottime() < deadline:
+                if self.clients.close_idle_through(gate) and not (
+                    before and self.clients.connections_through(gate)
+                ):
                     break
                 await asyncio.sleep(SETTLE_POLL_S)
             if local.gate is gate:  # not fenced meanwhile
@@ -338,27 +340,27 @@
 
     def _finish_pending(self, gate: Gate, finish_s: float) -> None:
         """Answer pending requests for up to `finish_s` seconds while the successor already serves."""
-        gate.finish(self.clock.awake() + finish_s)
+        gate.finish(self.clock.boottime() + finish_s)
         if gate.phase is not Phase.FINISHING:
             self._close_gate(gate)
             return
-        for connection in self.clients.through(gate):
-            if connection.pending is None and not connection.ending:
+        for connection in self.clients.connections_through(gate):
+            if connection.pending is None and not connection.is_closing:
                 connection.fence()
-        self.clients.hurry(gate, finish_s - ANSWER_MARGIN_S)
+        self.clients.shorten_deadlines(gate, finish_s - ANSWER_MARGIN_S)
         timer = self.loop.call_later(finish_s, self._close_gate, gate)
         self._finish_timers.add(timer)
 
     def _close_gate(self, gate: Gate) -> None:
         gate.shut()
-        self.clients.cut(gate)
+        self.clients.fence_all(gate)
 
     def _fence(self, local: LocalAddress) -> None:
         """Shut the gate and close the listener at once."""
         gate, local.gate = local.gate, None
         local.withdrawing = True
         if local.listener is not None:
-            local.listener.close(last=False)
+            local.listener.close(drain_backlog=False)
             local.listener = None
         if gate is not None:
             self._close_gate(gate)
--- a/wickgw/cli/address.py
+++ b/wickgw/cli/address.py
@@ -14,7 +14,7 @@
 
 from wickgw.cli.common import exit_on_config_error
 from wickgw.config.relay import ConfigError
-from wickgw.net.listen import address as socket_address
+from wickgw.net.listen import parse_address as socket_address
 
 app = typer.Typer(no_args_is_help=True, help="Service addresses that move between instances.")
 
--- a/wickgw/config/relay.py
+++ b/wickgw/config/relay.py
@@ -15,7 +15,7 @@
 
 from wickgw import interface as i
 from wickgw.facts import read_settings
-from wickgw.net.listen import address, listening
+from wickgw.net.listen import open_listening_socket, parse_address
 from wickgw.validate import check
 
 MIN_DESCRIPTORS = 32
@@ -79,8 +79,8 @@
     # change, so the file has precedence for it. Name and listening address are fixed for the process.
     name, listen, discovery = text("name"), text("listen"), text("discovery", file_first=True)
     try:
-        listen_address = address(listen)
-        address(discovery)
+        listen_address = parse_address(listen)
+        parse_address(discovery)
         settings = read_settings(raw["settings"])
         check(settings)
         seed = raw.get("seed", 0)
@@ -101,7 +101,7 @@
         try:
             if not isinstance(mgmt, str):
                 raise ValueError(f"not an address: {mgmt!r}")
-            mgmt_address = address(mgmt)
+            mgmt_address = parse_address(mgmt)
         except ValueError as error:
             raise ConfigError(
                 f"{path}: mgmt (or RELAY_MGMT): {error}; HOST:PORT of IPv4 is allowed"
@@ -142,7 +142,7 @@
         # The management port is opened first: a process that can't open it exits before it accepts a job.
         host, port = config.mgmt
         try:
-            mgmt = listening(config.mgmt, 128)
+            mgmt = open_listening_socket(config.mgmt, 128)
         except OSError as error:
             raise ConfigError(
                 f"{config.path}: mgmt (or RELAY_MGMT): can't listen at {host}:{port}: "
@@ -156,7 +156,7 @@
         return ListeningSockets(clients, mgmt)
     try:
         since = time.monotonic()  # before the first connection can arrive
-        return ListeningSockets(listening(config.listen, BACKLOG_CONNECTIONS), mgmt, since)
+        return ListeningSockets(open_listening_socket(config.listen, BACKLOG_CONNECTIONS), mgmt, since)
     except OSError as error:
         if mgmt is not None:
             mgmt.close()
--- a/wickgw/net/__init__.py
+++ b/wickgw/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real dispatcher on sockets: everything here carries out decisions, nothing here makes one."""
+"""The serving path on sockets. It carries out decisions; the decision module makes them."""
--- a/wickgw/net/attempt.py
+++ b/wickgw/net/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a label worker: its timer, its connection while one carries it, and its one end."""
+"""One attempt at a label worker: its timer, its connection while it has one, and its outcome."""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
@@ -14,61 +14,65 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """What a client asked for, as it is passed on unchanged."""
+    """The request of a client, passed on to a worker unchanged."""
 
     method: str
     target: str
     body: bytes
-    key: str | None = None  # of a request whose repeats workers drop: they know them by it
+    idempotency_key: str | None = None  # by which workers recognise and drop repeats, if the request has one
 
 
 class Attempt:
-    """One attempt. It holds its timer, and its connection while one carries it."""
+    """One attempt, with its timer and, while it has one, its connection."""
 
-    def __init__(self, pool: "WorkerConnections", pending: PendingRequest, number: int, until: float) -> None:
-        self.pool, self.pending, self.number, self.until = pool, pending, number, until
+    def __init__(
+        self, owner: "WorkerConnections", pending: PendingRequest, number: int, deadline: float
+    ) -> None:
+        self.owner, self.pending, self.number, self.deadline = owner, pending, number, deadline
         self.connection: WorkerConnection | None = None
-        self.over = False
-        self.free: float | None = None  # slots free at the worker, if it has reported them
-        self.timer = pool.loop.call_at(until, self.give_up, i.Verdict.TIMEOUT)
+        self.ended = False
+        self.free_slots: float | None = None  # free slots at the worker, if it has reported them
+        self.timer = owner.loop.call_at(deadline, self.abandon, i.Verdict.TIMEOUT)
 
     @property
-    def opening(self) -> "WorkerConnection | None":
-        """The connection that it waits for: nothing of it is written."""
-        return self.connection if self.connection is not None and not self.connection.begun else None
+    def waiting_connection(self) -> "WorkerConnection | None":
+        """The connection that this attempt waits for. None of the request is written yet."""
+        return (
+            self.connection if self.connection is not None and not self.connection.request_started else None
+        )
 
-    def hurry(self, until: float) -> None:
-        """Wait no longer than that."""
-        if until < self.until:
+    def shorten_deadline(self, deadline: float) -> None:
+        """Bring the deadline forward to `deadline` if that is earlier."""
+        if deadline < self.deadline:
             self.timer.cancel()
-            self.until = until
-            self.timer = self.pool.loop.call_at(until, self.give_up, i.Verdict.TIMEOUT)
+            self.deadline = deadline
+            self.timer = self.owner.loop.call_at(deadline, self.abandon, i.Verdict.TIMEOUT)
 
-    def request(self) -> bytes:
-        """Its bytes, with the time that is left now."""
+    def encode_request(self) -> bytes:
+        """Encode the request, with the time that is left until the deadline."""
         job: Job = self.pending.job
-        left = max(1, int((self.until - self.pool.loop.time()) * 1000))
-        fields = {"Host": "app.svc", "Req-Id": self.pending.id, "Req-Deadline-Ms": str(left)}
-        if job.key is not None:
-            fields["Idempotency-Key"] = job.key
-        return http.request(job.method, job.target, fields, job.body)
+        remaining_ms = max(1, int((self.deadline - self.owner.loop.time()) * 1000))
+        headers = {"Host": "app.svc", "Req-Id": self.pending.id, "Req-Deadline-Ms": str(remaining_ms)}
+        if job.idempotency_key is not None:
+            headers["Idempotency-Key"] = job.idempotency_key
+        return http.encode_request(job.method, job.target, headers, job.body)
 
-    def give_up(self, verdict: i.Verdict) -> None:
-        """Stop waiting: the connection is closed, which tells the worker."""
+    def abandon(self, verdict: i.Verdict) -> None:
+        """Stop waiting and close the connection, which cancels the job at the worker."""
         connection, self.connection = self.connection, None
         if connection is not None:
-            # Whatever has not left the buffer never will: the connection is aborted before this is said.
-            if verdict is i.Verdict.TIMEOUT and not connection.written:
+            # The connection is aborted before the outcome is reported, so unsent bytes are never sent.
+            if verdict is i.Verdict.TIMEOUT and not connection.request_sent:
                 verdict = i.Verdict.CONNECT_FAILED
             connection.drop()
-        self.end(verdict)
+        self.finish(verdict)
 
-    def end(self, verdict: i.Verdict, result: bytes = b"") -> None:
-        """The one place where an attempt ends; what comes later is too late."""
-        if self.over:
+    def finish(self, verdict: i.Verdict, result: bytes = b"") -> None:
+        """Report the outcome; the only place where this happens. Later outcomes are ignored."""
+        if self.ended:
             return
-        self.over = True
+        self.ended = True
         self.timer.cancel()
-        del self.pool.attempts[self.pending.id, self.number]
-        self.pool.opening.discard(self)
-        self.pool.dispatcher.ended(self.pending.id, self.number, verdict, result, self.free)
+        del self.owner.attempts[self.pending.id, self.number]
+        self.owner.waiting_attempts.discard(self)
+        self.owner.dispatcher.attempt_ended(self.pending.id, self.number, verdict, result, self.free_slots)
--- a/wickgw/net/clients.py
+++ b/wickgw/net/clients.py
@@ -1,9 +1,10 @@
-"""Clients: the listener, client connections, and what is told to operators on the same port.
+"""Client connections: the listeners, the HTTP connections of clients and the operator pages on the same port.
 
-Owns the listening socket, every client connection, and the one timer that looks after them. A request read
-here becomes a pending request and gets the answer that the dispatcher gives it, whole, on the connection it
-came by. It must never answer a job by itself once it is taken, nor close a connection that owes an answer,
-nor let connections that bring no jobs keep out those that do.
+Owns the listening socket, every client connection and the one timer that supervises them. A request that is
+read here becomes a pending request. Its answer comes from the dispatcher and is written whole on the
+connection that the request came from. This module never answers a job on its own once the dispatcher has
+accepted it, never closes a connection that still has an answer to come, and evicts connections without jobs
+before connections with jobs.
 """
 
 import asyncio
@@ -23,307 +24,331 @@
 from wickgw.net.dispatch import Answer, AnswerKind, PendingRequest
 from wickgw.net.pools import NoRouteError, Pools
 from wickgw.net.sockets import Connection, Sockets
-from wickgw.observe import logger
-
-log = logger("wickgw")
-ALLOWANCE = 0.015  # seconds of a client's time left for its request's way here and the answer's way back
-ACCEPT_AT_ONCE = 32  # connections accepted, and not opened yet, before others get their turn
-ACCEPT_PAUSE = 0.02  # seconds without accepting after it failed, or while all connections are busy
-SWEEP = 0.25  # seconds between looks at connections that should be moving
-# Whoever connects is owed an error or a close within 3 s; usual clients send a whole request at once.
-PATIENCE = 2.0  # seconds that a request may take to come in, and a connection without a job may be silent
-LINGER = 2.0  # seconds for a client to read its last answer before the connection is dropped
-# Seconds that idle connections are kept once clients are sent away. The front sends no new connections 0.2 s
-# after it hears no, and clients go on using those they have: each of those is closed after its next answer.
-# Closing one that is idle races with a request on its way, so that waits until most have been used; by 4 s
-# none may be held.
-AWAY_GRACE = 2.0
-UNREAD = 15.0  # the same while some of the answer is still here
-# Bytes kept of what a client sends while it is owed an answer: what a connection is budgeted to hold. It is
-# read on all the same, so that its end is seen at once; what comes beyond is not kept.
-AHEAD = http.MAX_HEAD + 2 * http.MAX_BODY
-WHOLE_ANSWER = 256 * 1024  # bytes: the largest answer, its head, and as much again for the kernel
-READ_SIZE = 32 * 1024  # bytes read at once while looking for a client's end
-MAX_READS_AHEAD = 16  # reads while looking for it: more than fits into a system's usual receive buffer
-LOOKS = 16  # connections looked at to make room for one
-ID = re.compile(r"[0-9A-Za-z._-]{1,64}")
-MS = re.compile(r"[0-9]{1,9}")
-EXTRA = re.compile(r"\s*([0-9A-Za-z_-]+)\s*=\s*([^,=]*?)\s*")
-SLOTS = re.compile(r"[0-9]{1,6}(?:\.[0-9]{1,6})?")
-TEXT = {"Content-Type": "text/plain; charset=utf-8"}
-JSON = {"Content-Type": "application/json"}
+from wickgw.observe import get_logger
+
+log = get_logger("wickgw")
+NETWORK_ALLOWANCE_S = 0.015  # of a client's deadline, for the network round trip
+MAX_OPENING_CONNECTIONS = 32  # accepted connections without a transport; beyond, accepting waits
+ACCEPT_PAUSE_S = 0.02  # pause after a failed accept, or while no connection can be evicted
+SWEEP_INTERVAL_S = 0.25  # between checks for stalled connections
+# A client must get an error or a close within 3 s of connecting. Typical clients send a request in one piece.
+REQUEST_TIMEOUT_S = 2.0  # for a request to arrive, and for a connection without a job to stay silent
+LINGER_S = 2.0  # for a client to read its last answer before the connection is aborted
+# Idle connections are kept for this long after a pause begins. The load balancer in front stops opening
+# connections 0.2 s after a failed readiness check, but clients go on using the ones they have, and each of
+# those is closed after its next answer. Closing an idle connection races with a request in flight, so the
+# close waits until most connections have been used. None may be open after 4 s.
+PAUSE_GRACE_S = 2.0
+UNREAD_ANSWER_TIMEOUT_S = 15.0  # replaces LINGER_S while part of the answer is still in this process
+# Bytes kept of what a client sends ahead of its answer, as budgeted for each connection. Reading goes on
+# beyond this limit, so that the client's disconnect is noticed at once, but the further bytes are dropped.
+MAX_PIPELINED_BYTES = http.MAX_HEAD_BYTES + 2 * http.MAX_BODY_BYTES
+MAX_ANSWER_BYTES = 256 * 1024  # the largest answer with its head, and as much again for the kernel
+READ_SIZE_BYTES = 32 * 1024  # per read in a check for a client's disconnect
+MAX_LOOKAHEAD_READS = 16  # per check for a disconnect: more than a usual receive buffer holds
+MAX_EVICTION_CANDIDATES = 16  # connections examined for one eviction
+ID_PATTERN = re.compile(r"[0-9A-Za-z._-]{1,64}")
+MILLISECONDS_PATTERN = re.compile(r"[0-9]{1,9}")
+EXTRA_PATTERN = re.compile(r"\s*([0-9A-Za-z_-]+)\s*=\s*([^,=]*?)\s*")
+SLOTS_PATTERN = re.compile(r"[0-9]{1,6}(?:\.[0-9]{1,6})?")
+TEXT_HEADERS = {"Content-Type": "text/plain; charset=utf-8"}
+JSON_HEADERS = {"Content-Type": "application/json"}
 
 
 class Gate(Protocol):
-    """The look before every step on an address that may be another instance's by now."""
+    """Permission to serve on a service address. It ends when the address may move to another instance."""
 
     def may_take(self) -> bool:
-        """Whether a connection may be accepted, a request be taken."""
+        """Return whether a connection may be accepted or a request be started."""
 
     def may_answer(self) -> bool:
-        """Whether anything may be written."""
+        """Return whether anything may be written."""
 
     def time_left(self) -> float:
-        """Seconds that a request taken now may take."""
+        """Return the seconds that a request which starts now may take."""
 
 
 class ClientConnection(Connection):
-    """One client connection: reads a request, waits for its answer, writes it, reads the next."""
+    """One client connection: reads a request, waits for its answer, writes the answer, reads the next."""
 
     def __init__(self, clients: "Clients", gate: Gate | None = None) -> None:
         self.clients, self.gate = clients, gate
         self.parser = http.RequestParser()
         self.pending: PendingRequest | None = None  # the request that waits for its answer
-        self.keep = True  # as the request in hand wants it
-        self.known = False  # it has brought a job
-        self.came_after: float | None = None  # when its first request came at the earliest, if it had to wait
-        self.fresh = True  # nothing has been answered on it
-        self.since = 0.0  # when it last began to wait for bytes; until the first answer, when it was opened
-        self.reading = False
-        self.ending = False  # the last answer is written; what still comes is not read
-        self.cut = False  # it sent more than is kept: after what is kept it ends
+        self.keep_alive = True  # the connection outlives the answer to the current request
+        self.has_sent_job = False  # at least one job request was accepted
+        self.arrived_after: float | None = None  # lower bound of the arrival time, from the backlog
+        self.is_unused = True  # no answer has been written
+        self.waiting_since = 0.0  # start of the wait for bytes; until the first answer, the time of opening
+        self.is_reading = False  # `_read_requests` is running
+        self.is_closing = False  # the last answer is written, and further input is ignored
+        self.input_truncated = False  # input beyond MAX_PIPELINED_BYTES was dropped
 
     def opened(self) -> None:
-        self.since = self.clients.loop.time()
+        """Start the time limit of the first request."""
+        self.waiting_since = self.clients.loop.time()
 
-    def never_opened(self) -> None:
-        self.clients.forget(self)
+    def open_failed(self) -> None:
+        """Remove the connection, which got no transport."""
+        self.clients.remove(self)
 
     @property
-    def unwritten(self) -> int:
-        """Bytes of answers that are still on their way out of this process."""
+    def unwritten_bytes(self) -> int:
+        """Bytes of answers that have not left this process."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
 
     @property
-    def at_rest(self) -> bool:
-        """Closing it harms nobody: its last answer is out, or it is between requests."""
-        return not self.unwritten if self.ending else self.quiet() and not self.partial
+    def can_close(self) -> bool:
+        """Whether a close loses nothing: the last answer is out, or the connection is between requests."""
+        return (
+            not self.unwritten_bytes if self.is_closing else self.is_quiet() and not self.has_partial_request
+        )
 
     @property
-    def partial(self) -> bool:
-        """A request has begun to come in, and isn't whole."""
-        return self.pending is None and not self.ending and self.parser.partial
+    def has_partial_request(self) -> bool:
+        """Whether part of a request has arrived, but not all of it."""
+        return self.pending is None and not self.is_closing and self.parser.has_partial_request
 
     def received(self, data: bytes) -> None:
-        if not self.parser.partial and not self.fresh:
-            self.since = self.clients.loop.time()
+        """Buffer input and handle the requests that are complete."""
+        if not self.parser.has_partial_request and not self.is_unused:
+            self.waiting_since = self.clients.loop.time()
         self.parser.feed(data)
         if self.pending is None:
-            self._read()
-        elif len(self.parser.buffer) > AHEAD:
-            self.cut = self.discarding = True  # reading goes on: paused, its end would lie behind its bytes
+            self._read_requests()
+        elif len(self.parser.buffer) > MAX_PIPELINED_BYTES:
+            # Reading does not pause, since the client's disconnect would wait behind its unread bytes.
+            self.input_truncated = self.discarding = True
             self.clients.counters["cut"] += 1
 
-    def _read(self) -> None:
-        """Take the requests that are in, one after the other. A loop, so that a long line of them that are
-        answered on the spot does not grow the stack."""
-        self.reading = True
+    def _read_requests(self) -> None:
+        """Handle the complete requests one after the other.
+
+        This is a loop because recursion would grow the stack with a long series of requests that are answered
+        at once.
+        """
+        self.is_reading = True
         try:
-            while self.pending is None and not self.ending:
-                if self.unwritten > WHOLE_ANSWER:  # whoever asks on and reads nothing fills no memory here
+            while self.pending is None and not self.is_closing:
+                # A client that goes on asking and reads no answer must not fill the memory.
+                if self.unwritten_bytes > MAX_ANSWER_BYTES:
                     raise http.HttpError(413, "answers are not read")
                 request = self.parser.next()
                 if request is None:
-                    if self.cut:
+                    if self.input_truncated:
                         raise http.HttpError(413, "too much sent ahead of answers")
-                    free = self.gate is None or self.gate.may_take()
-                    if free and self.parser.wants_continue() and self.transport is not None:
+                    may_take = self.gate is None or self.gate.may_take()
+                    if may_take and self.parser.wants_continue() and self.transport is not None:
                         self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
                     break
-                self.keep = request.keep
-                self.clients.route(self, request)
-        except http.HttpError as error:  # framing is lost: no telling where the next request begins
-            self.keep = False
+                self.keep_alive = request.keep_alive
+                self.clients.handle_request(self, request)
+        except http.HttpError as error:  # the framing is lost: the start of the next request is unknown
+            self.keep_alive = False
             self.reject(error.status, str(error))
         finally:
-            self.reading = False
+            self.is_reading = False
 
     def reject(self, status: int, reason: str, fields: dict[str, str] | None = None) -> None:
-        """Answer a request that was not taken."""
+        """Answer a request that was not accepted with an error status."""
         self.clients.counters[f"rejected.{status}"] += 1
-        self.write(status, f"{reason}\n".encode(), TEXT | (fields or {}))
+        self.write_response(status, f"{reason}\n".encode(), TEXT_HEADERS | (fields or {}))
 
-    def write(self, status: int, body: bytes, fields: dict[str, str]) -> None:
-        """Write an answer, and end the connection if it is the last."""
+    def write_response(self, status: int, body: bytes, fields: dict[str, str]) -> None:
+        """Write an answer, and shut down the sending side if the connection does not stay open."""
         if self.transport is None or self.transport.is_closing():
             return
-        keep = self.keep and not self.clients.draining and self.clients.away is None
+        keep_alive = self.keep_alive and not self.clients.is_draining and self.clients.paused_since is None
         if self.gate is not None:
-            if not self.gate.may_answer():  # the address is another's by now: so is its client
+            if not self.gate.may_answer():  # another instance serves this address and its clients now
                 self.fence()
                 return
-            keep = keep and self.gate.may_take()
-        self.transport.write(http.response(status, body, fields, keep))
-        self.since, self.fresh = self.clients.loop.time(), False
-        if not keep:
-            # Closing with bytes unread would reset the connection and could destroy the answer on its way:
-            # so this side only ends its sending, and the client, or the sweep, closes it. What still comes
-            # may be tens of megabytes: it is neither copied nor kept.
-            self.ending = self.discarding = True
+            keep_alive = keep_alive and self.gate.may_take()
+        self.transport.write(http.encode_response(status, body, fields, keep_alive))
+        self.waiting_since, self.is_unused = self.clients.loop.time(), False
+        if not keep_alive:
+            # A close with unread input would reset the connection and could destroy the answer in flight.
+            # This side only ends its sending; the client or the sweep closes the connection. The input that
+            # still arrives may be tens of megabytes, so it is neither copied nor kept.
+            self.is_closing = self.discarding = True
             self.parser = http.RequestParser()
-            self.clients.waits(self)
+            self.clients.mark_idle(self)
             try:
                 self.transport.write_eof()
-            except OSError:  # the client is gone already: there is nobody left to tell
+            except OSError:  # the client has disconnected
                 self.abort()
 
     def fence(self) -> None:
-        """End it without a word: whatever it could still say is no longer ours to say."""
+        """Reset the connection without an answer, since another instance may serve the address."""
         self.clients.counters["fenced"] += 1
-        self.ending = self.discarding = True
+        self.is_closing = self.discarding = True
         if self.sock is not None:
             with contextlib.suppress(OSError):
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.abort()
 
-    def taken(self, pending: PendingRequest) -> None:
-        """A request of this connection waits for its answer."""
-        self.pending, self.known = pending, True
-        self.clients.busy(self)
+    def request_accepted(self, pending: PendingRequest) -> None:
+        """Record that an accepted request of this connection waits for its answer."""
+        self.pending, self.has_sent_job = pending, True
+        self.clients.mark_busy(self)
 
     def answer(self, answer: Answer) -> None:
-        """The final answer to the request that was taken."""
+        """Write the final answer to the accepted request, then handle the requests that follow it."""
         self.pending = None
-        self.clients.waits(self)
+        self.clients.mark_idle(self)
         if answer.kind is AnswerKind.SERVED:
-            self.write(200, answer.result, TEXT)
+            self.write_response(200, answer.result, TEXT_HEADERS)
         elif answer.kind is AnswerKind.REFUSED:
-            # A client that comes again on this connection finds the same process, which is about to end.
-            self.keep = self.keep and not self.clients.leaving
-            after = f"{answer.retry_after:.3f}".rstrip("0").rstrip(".")
-            self.write(503, b"not done, try again later\n", TEXT | {"Retry-After": after})
+            # A retry on this connection would reach this process again, which is about to end.
+            self.keep_alive = self.keep_alive and not self.clients.is_shutting_down
+            retry_after = f"{answer.retry_after:.3f}".rstrip("0").rstrip(".")
+            self.write_response(
+                503, b"not done, try again later\n", TEXT_HEADERS | {"Retry-After": retry_after}
+            )
         else:
-            self.write(502, b"failed\n", TEXT)
-        if not self.reading:
-            self._read()
-
-    def has_left(self) -> bool:
-        """Whether the client has ended its side. What it sent ahead of that lies before it and is read."""
-        for _ in range(MAX_READS_AHEAD):
-            unread = self._next()
-            if not unread:
-                return unread is not None
+            self.write_response(502, b"failed\n", TEXT_HEADERS)
+        if not self.is_reading:
+            self._read_requests()
+
+    def has_disconnected(self) -> bool:
+        """Return whether the client has ended its side.
+
+        Input that the client sent before the end is read first, since the end lies behind it.
+        """
+        for _ in range(MAX_LOOKAHEAD_READS):
+            next_byte = self._peek()
+            if not next_byte:
+                return next_byte is not None
             assert self.sock is not None
-            data = self.sock.recv(READ_SIZE)
+            data = self.sock.recv(READ_SIZE_BYTES)
             if not self.discarding:
                 self.received(data)
         return False
 
     def eof_received(self) -> bool:
-        """A client that ends its side has gone away. The connection may close much later, when the answers to
-        what it asked before are written; its request does not wait for that."""
-        self.ending = self.discarding = True
-        self._leave()
+        """Treat the end of the client's side as a disconnect.
+
+        The transport may close much later, once the answers to earlier requests are written. The pending
+        request does not wait for that.
+        """
+        self.is_closing = self.discarding = True
+        self._abandon_request()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The one place where a client connection is given back."""
+        """Release the connection; the only place where this happens."""
         self.sock = None
-        self.clients.forget(self)
-        self._leave()
+        self.clients.remove(self)
+        self._abandon_request()
 
-    def _leave(self) -> None:
+    def _abandon_request(self) -> None:
         pending, self.pending = self.pending, None
         if pending is not None:
-            pending.leave()
+            pending.client_left()
 
 
 class Listener:
-    """A listening socket, open until it is closed. Neither an error nor a lack of descriptors ends it."""
+    """A listening socket. Neither errors nor a lack of descriptors end it; only `close` does."""
 
     def __init__(
         self,
         clients: "Clients",
         sock: socket.socket,
         gate: Gate | None = None,
-        shared: bool = False,
-        since: float | None = None,
+        is_shared: bool = False,
+        listening_since: float | None = None,
     ) -> None:
-        # Connections that waited here while the process loaded came at some time after this; None after the
-        # first look, which does not wait for a connection.
-        self.backlog_since = since
+        # Connections in the backlog at the start arrived after this time. None after the first accept, which
+        # finds them without waiting.
+        self.listening_since = listening_since
         clients.loop.call_soon(self._accept_backlog)
         self.clients, self.gate = clients, gate
-        self._resume: asyncio.TimerHandle | None = None  # while not accepting
+        self._resume_timer: asyncio.TimerHandle | None = None  # set while accepting is paused
         self.closed = False
-        # Shared with the process before or after this one, by the platform that holds it.
-        self.sock, self.shared = sock, shared
-        self.where: tuple[str, int] = self.sock.getsockname()
+        # A shared socket is held by the platform and is passed on to the previous or next process, too.
+        self.sock, self.is_shared = sock, is_shared
+        self.address: tuple[str, int] = self.sock.getsockname()
         clients.loop.add_reader(self.sock.fileno(), self._accept)
 
     def _accept_backlog(self) -> None:
-        if self.backlog_since is not None and not self.closed:
+        if self.listening_since is not None and not self.closed:
             self._accept()
-        self.backlog_since = None
+        self.listening_since = None
+
+    def _accept(self, drain_backlog: bool = False) -> None:
+        """Accept the waiting connections.
 
-    def _accept(self, last: bool = False) -> None:
-        """Accept what waits; at the last time all of it, since closing the listener would reset the rest."""
+        `drain_backlog` accepts all of them before the listener closes, since closing resets the rest.
+        """
         clients = self.clients
-        while last or clients.sockets.opening < ACCEPT_AT_ONCE:
+        while drain_backlog or clients.sockets.opening_count < MAX_OPENING_CONNECTIONS:
             if (
-                len(clients.connections) >= clients.sockets.for_clients
-                and not clients.make_room()
-                and not last
+                len(clients.connections) >= clients.sockets.max_client_connections
+                and not clients.evict_one()
+                and not drain_backlog
             ):
                 self._pause()
                 return
             try:
                 sock, _ = self.sock.accept()
             except BlockingIOError:
-                self.backlog_since = None
+                self.listening_since = None
                 return
             except (InterruptedError, ConnectionAbortedError):
                 return
             except OSError as error:
                 log.warning("accept.failed", error=str(error))
                 clients.counters["accept_errors"] += 1
-                if not clients.make_room() or not last:
+                if not clients.evict_one() or not drain_backlog:
                     self._pause()
                     return
                 continue
             if self.gate is not None:
                 if not self.gate.may_take():
                     clients.counters["fenced.connections"] += 1
-                    reset(sock)
+                    close_with_reset(sock)
                     continue
-                # An answer fits whole into the system's buffer: none is left here to be written later.
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, WHOLE_ANSWER)
+                # An answer fits whole into the kernel's buffer, so nothing is left to be written later.
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MAX_ANSWER_BYTES)
             sock.setblocking(False)
-            clients.accepted(sock, self.gate, self.backlog_since)
+            clients.add_connection(sock, self.gate, self.listening_since)
 
     def _pause(self) -> None:
         if not self.closed:
             self.clients.loop.remove_reader(self.sock.fileno())
-            self._resume = self.clients.loop.call_later(ACCEPT_PAUSE, self._accept_again)
+            self._resume_timer = self.clients.loop.call_later(ACCEPT_PAUSE_S, self._resume_accepting)
 
-    def _accept_again(self) -> None:
-        self._resume = None
+    def _resume_accepting(self) -> None:
+        self._resume_timer = None
         self.clients.loop.add_reader(self.sock.fileno(), self._accept)
         self._accept()
 
-    def close(self, last: bool = True) -> None:
-        """Take what has connected already, unless it may not be, then accept no more. What waits in a shared
-        socket is left to the other process that holds it."""
+    def close(self, drain_backlog: bool = True) -> None:
+        """Stop accepting.
+
+        `drain_backlog` first accepts the connections that wait. Connections in a shared socket are left to
+        the other process that holds it.
+        """
         if self.closed:
             return
-        if last and not self.shared:
-            self._accept(last=True)
+        if drain_backlog and not self.is_shared:
+            self._accept(drain_backlog=True)
         self.closed = True
-        if self._resume is not None:
-            self._resume.cancel()
+        if self._resume_timer is not None:
+            self._resume_timer.cancel()
         self.clients.loop.remove_reader(self.sock.fileno())
         self.sock.close()
 
 
-def reset(sock: socket.socket) -> None:
-    """Close with a reset: nobody is left to believe that it is still answered on."""
+def close_with_reset(sock: socket.socket) -> None:
+    """Close a socket with a reset, so that its client does not go on waiting for an answer."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 class Clients:
-    """The listener and all client connections."""
+    """The listener and all client connections of a dispatcher."""
 
     def __init__(
         self,
@@ -335,246 +360,299 @@
     ) -> None:
         self.loop, self.sockets, self.pools, self.report = loop, sockets, pools, report
         self.counters = pools.counters
-        self.classes = {c.name: (n, c.deadline) for n, c in enumerate(settings.classes)}
-        self.tenants = {t.name: n for n, t in enumerate(settings.tenants)}
+        # Class name -> index and deadline in seconds.
+        self.classes = {
+            request_class.name: (index, request_class.deadline)
+            for index, request_class in enumerate(settings.classes)
+        }
+        self.tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
         self.connections: set[ClientConnection] = set()
-        # Connections that owe nothing, longest so first, in the order in which they make room for others:
-        # those whose last answer is written, those that have brought no job yet, those that have.
+        # Connections without a request in progress, in the order of eviction: those whose last answer is
+        # written, those without a job so far, those with one. Each set starts with the longest idle.
         self.idle: tuple[OrderedDict[ClientConnection, None], ...] = tuple(OrderedDict() for _ in range(3))
-        self.ready = False  # a list is held
-        self.leaving = False  # the process is about to end: clients should go elsewhere
-        self.draining = False  # and takes nothing more: every answer is its connection's last
-        self.away: float | None = None  # since when clients are sent away, while the process serves on
+        self.ready = False  # the worker list is known
+        self.is_shutting_down = False  # the process is about to end; the readiness check fails
+        self.is_draining = False  # no more connections are accepted, and each answer closes its connection
+        self.paused_since: float | None = None  # set while PAUSE is in force
         self.listener: Listener | None = None
-        self.address_status: Callable[[], dict[str, object]] | None = None  # if addresses move here
-        self._sweeper = loop.call_later(SWEEP, self._sweep)
+        self.address_status: Callable[[], dict[str, object]] | None = None  # set where service addresses move
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     # Listening.
 
-    def listen(self, sock: socket.socket, shared: bool, since: float | None = None) -> tuple[str, int]:
-        """Begin to accept on a socket that has listened since then; returns the address, as port 0
-        leaves the choice to the system."""
-        self.listener = Listener(self, sock, shared=shared, since=since)
-        return self.listener.where
+    def listen(
+        self, sock: socket.socket, is_shared: bool, listening_since: float | None = None
+    ) -> tuple[str, int]:
+        """Start to accept on a listening socket.
+
+        `listening_since` is the earliest arrival time of a connection in the backlog. Returns the address,
+        which names the port that the system chose for port 0.
+        """
+        self.listener = Listener(self, sock, is_shared=is_shared, listening_since=listening_since)
+        return self.listener.address
 
     @property
-    def shared(self) -> bool:
-        """Clients come by a socket that another process may accept from as well."""
-        return self.listener is not None and self.listener.shared
-
-    def make_room(self) -> bool:
-        """Close a connection that owes nothing. A client between requests opens another, so it is asked last:
-        hundreds that say nothing must not close it out. One whose request lies unread is not closed."""
-        first = next((idle for idle in self.idle if idle), self.idle[0])
-        looks = list(itertools.islice(first, LOOKS))
-        at_rest = (c for c in looks if c.at_rest)
-        # If none is: one that has sent a part of its first request, and sends no more.
-        halves = (c for c in looks if c.partial and not c.known and c.quiet())
-        connection = next(itertools.chain(at_rest, halves), None)
+    def is_shared(self) -> bool:
+        """Whether another process may accept from the same listening socket."""
+        return self.listener is not None and self.listener.is_shared
+
+    def evict_one(self) -> bool:
+        """Close one connection without a request in progress, and return whether there was one.
+
+        A client that has sent jobs would reconnect at once, so it is evicted last: hundreds of silent
+        connections must not displace it. A connection with an unread request is not closed.
+        """
+        candidates = next((idle for idle in self.idle if idle), self.idle[0])
+        examined = list(itertools.islice(candidates, MAX_EVICTION_CANDIDATES))
+        closable = (candidate for candidate in examined if candidate.can_close)
+        # Otherwise one that has sent only a part of its first request, with nothing more to read.
+        partial_connections = (
+            candidate
+            for candidate in examined
+            if candidate.has_partial_request and not candidate.has_sent_job and candidate.is_quiet()
+        )
+        connection = next(itertools.chain(closable, partial_connections), None)
         if connection is None:
             return False
         self.counters["evicted"] += 1
-        self._drop(connection)
+        self._close_connection(connection)
         return True
 
-    def accepted(self, sock: socket.socket, gate: Gate | None, came_after: float | None = None) -> None:
-        """A client has connected, if it is told: at some time after that."""
+    def add_connection(
+        self, sock: socket.socket, gate: Gate | None, arrived_after: float | None = None
+    ) -> None:
+        """Register an accepted connection.
+
+        `arrived_after` is a lower bound of its arrival time, for one from the backlog.
+        """
         connection = ClientConnection(self, gate)
-        connection.came_after = came_after
+        connection.arrived_after = arrived_after
         self.connections.add(connection)
-        self.waits(connection)  # not at rest until it is opened, so it is not closed unseen
+        self.mark_idle(connection)  # `can_close` is false until it is open, so it is not closed before
         self.counters["connections"] += 1
-        self.sockets.adopt(sock, connection, side="clients")
+        self.sockets.open_transport(sock, connection, side="clients")
 
-    def _drop(self, connection: ClientConnection) -> None:
-        self.forget(connection)
-        connection.ending = connection.discarding = True
+    def _close_connection(self, connection: ClientConnection) -> None:
+        self.remove(connection)
+        connection.is_closing = connection.discarding = True
         if connection.transport is not None:
             connection.transport.close()
 
-    def waits(self, connection: ClientConnection) -> None:
-        """A connection owes nothing from now on."""
-        self.busy(connection)
-        self.idle[0 if connection.ending else 2 if connection.known else 1][connection] = None
+    def mark_idle(self, connection: ClientConnection) -> None:
+        """Record that a connection has no request in progress."""
+        self.mark_busy(connection)
+        self.idle[0 if connection.is_closing else 2 if connection.has_sent_job else 1][connection] = None
 
-    def busy(self, connection: ClientConnection) -> None:
-        """A connection owes an answer from now on."""
+    def mark_busy(self, connection: ClientConnection) -> None:
+        """Record that a connection waits for an answer."""
         for idle in self.idle:
             idle.pop(connection, None)
 
-    def forget(self, connection: ClientConnection) -> None:
-        """A connection is closed."""
+    def remove(self, connection: ClientConnection) -> None:
+        """Forget a closed connection."""
         self.connections.discard(connection)
-        self.busy(connection)
+        self.mark_busy(connection)
 
     def _sweep(self) -> None:
-        """One timer for all: connections that never say anything, requests that never come in whole, and
-        answers that are never read. A client that has brought a job may be idle for as long as it likes."""
-        self._sweeper = self.loop.call_later(SWEEP, self._sweep)
+        """Close connections that stay silent, send incomplete requests or do not read their last answer.
+
+        A client that has sent a job may be idle without limit.
+        """
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
-        if self.away is not None and now - self.away >= AWAY_GRACE:
+        if self.paused_since is not None and now - self.paused_since >= PAUSE_GRACE_S:
             self.close_idle()
         for connection in list(self.connections):
-            waited = now - connection.since
-            if connection.ending:
-                if waited > (UNREAD if connection.unwritten else LINGER):
+            waited_s = now - connection.waiting_since
+            if connection.is_closing:
+                if waited_s > (UNREAD_ANSWER_TIMEOUT_S if connection.unwritten_bytes else LINGER_S):
                     connection.abort()
-            elif waited <= PATIENCE or connection.pending is not None or connection.transport is None:
+            elif (
+                waited_s <= REQUEST_TIMEOUT_S
+                or connection.pending is not None
+                or connection.transport is None
+            ):
                 continue
-            elif connection.partial:
-                connection.keep = False
+            elif connection.has_partial_request:
+                connection.keep_alive = False
                 connection.reject(408, "the request did not come in")
-            elif not connection.known and connection.quiet():
+            elif not connection.has_sent_job and connection.is_quiet():
                 self.counters["silent"] += 1
-                self._drop(connection)
+                self._close_connection(connection)
 
     # Requests.
 
-    def route(self, connection: ClientConnection, request: http.Request) -> None:
-        """What a request asks for."""
+    def handle_request(self, connection: ClientConnection, request: http.Request) -> None:
+        """Route one request: an operator page, or a job that goes to its pool. Rejects malformed requests."""
         path, gate = request.path, connection.gate
         if gate is not None and not gate.may_take():
             connection.fence()
             return
         if path.startswith("/-/"):
-            self._operator(connection, request.method, path)
+            self._handle_operator_request(connection, request.method, path)
             return
         try:
             choice = self.pools.choose(request)
-        except NoRouteError as none:
-            connection.reject(400 if none.malformed else 404, str(none))
+        except NoRouteError as error:
+            connection.reject(400 if error.malformed else 404, str(error))
             return
-        cls, longest = self.classes.get(choice.job_class, (-1, 0.0))
-        if cls < 0:
+        class_index, class_deadline = self.classes.get(choice.job_class, (-1, 0.0))
+        if class_index < 0:
             connection.reject(404, "no such class")
             return
         if request.method != "POST":
             connection.reject(405, "jobs come by POST", {"Allow": "POST"})
             return
-        name, wait = request.headers.get("req-id", ""), request.headers.get("req-deadline-ms", "")
-        slots = _slots(request.headers.get("req-extra", ""))
-        if not ID.fullmatch(name):
+        request_id, deadline_ms = (
+            request.headers.get("req-id", ""),
+            request.headers.get("req-deadline-ms", ""),
+        )
+        slots = _requested_slots(request.headers.get("req-extra", ""))
+        if not ID_PATTERN.fullmatch(request_id):
             connection.reject(400, "Req-Id is missing or malformed")
-        elif not MS.fullmatch(wait):
+        elif not MILLISECONDS_PATTERN.fullmatch(deadline_ms):
             connection.reject(400, "Req-Deadline-Ms is missing or malformed")
         elif slots is None:
             connection.reject(400, "Req-Extra is malformed")
         else:
-            # No client waits longer than its class allows, whatever it says: 11 days would be owed an answer.
-            patience = min(int(wait) / 1000, longest, choice.time_limit) - ALLOWANCE
-            due = self.loop.time() + (patience if gate is None else min(patience, gate.time_left()))
-            if connection.came_after is not None:
-                # It may have waited for as long as this process loaded, and its client's time ran.
-                due, connection.came_after = min(due, connection.came_after + patience), None
+            # The class bounds the wait: `Req-Deadline-Ms` alone would allow 11 days.
+            patience = min(int(deadline_ms) / 1000, class_deadline, choice.time_limit) - NETWORK_ALLOWANCE_S
+            deadline = self.loop.time() + (patience if gate is None else min(patience, gate.time_left()))
+            if connection.arrived_after is not None:
+                # A request from the backlog may have waited while this process loaded; that time counts.
+                deadline, connection.arrived_after = min(deadline, connection.arrived_after + patience), None
             job = Job(request.method, request.target, request.body, request.headers.get("idempotency-key"))
-            # Who names no tenant of the settings, or several, is served as nobody's: beyond every share.
+            # A request that names no known tenant, or several, gets index -1: beyond every tenant's share.
             tenant = self.tenants.get(request.headers.get("req-owner", ""), -1) if self.tenants else 0
-            if connection.gone():  # while its request waited to be read, or to be accepted
+            if connection.peer_has_closed():  # while the request waited to be accepted or read
                 self.counters["left_unread"] += 1
                 return
-            pending = PendingRequest(name, cls, due, job, connection, slots, tenant, choice.attempts)
-            connection.taken(pending)
-            if not self.pools.take(choice, pending):
+            pending = PendingRequest(
+                request_id, class_index, deadline, job, connection, slots, tenant, choice.max_attempts
+            )
+            connection.request_accepted(pending)
+            if not self.pools.submit(choice, pending):
                 connection.pending = None
-                self.waits(connection)
+                self.mark_idle(connection)
                 connection.reject(409, "Req-Id is in use")
 
-    def _operator(self, connection: ClientConnection, method: str, path: str) -> None:
+    def _handle_operator_request(self, connection: ClientConnection, method: str, path: str) -> None:
         if path not in ("/-/ready", "/-/healthy", "/-/counters", "/-/address"):
             connection.reject(404, "no such page")
         elif method != "GET":
             connection.reject(405, "only GET here", {"Allow": "GET"})
         elif path == "/-/counters":
-            connection.write(200, (json.dumps(self.report(), sort_keys=True) + "\n").encode(), JSON)
+            connection.write_response(
+                200, (json.dumps(self.report(), sort_keys=True) + "\n").encode(), JSON_HEADERS
+            )
         elif path == "/-/address":
             if self.address_status is None:
                 connection.reject(404, "no service addresses are set up here")
             else:
-                connection.write(200, (json.dumps(self.address_status()) + "\n").encode(), JSON)
-        elif path == "/-/ready" and (self.leaving or self.away is not None or not self.ready):
-            why = b"no list yet\n" if not self.ready else b"paused\n" if not self.leaving else b"draining\n"
-            connection.write(503, why, TEXT)
+                connection.write_response(
+                    200, (json.dumps(self.address_status()) + "\n").encode(), JSON_HEADERS
+                )
+        elif path == "/-/ready" and (
+            self.is_shutting_down or self.paused_since is not None or not self.ready
+        ):
+            status_text = (
+                b"no list yet\n"
+                if not self.ready
+                else b"paused\n"
+                if not self.is_shutting_down
+                else b"draining\n"
+            )
+            connection.write_response(503, status_text, TEXT_HEADERS)
         else:
-            connection.write(200, b"ok\n", TEXT)
+            connection.write_response(200, b"ok\n", TEXT_HEADERS)
 
-    # Connections that came by an address that moves.
+    # Connections through a service address that moves.
 
-    def through(self, gate: Gate) -> list[ClientConnection]:
-        """All that came through a gate."""
-        return [c for c in self.connections if c.gate is gate]
+    def connections_through(self, gate: Gate) -> list[ClientConnection]:
+        """Return all connections that were accepted under a gate."""
+        return [connection for connection in self.connections if connection.gate is gate]
 
-    def settle(self, gate: Gate) -> bool:
-        """Close those that owe nothing and have sent nothing; whether no request can be taken on any more."""
-        waiting = [c for c in self.through(gate) if c.pending is None and not c.ending]
+    def close_idle_through(self, gate: Gate) -> bool:
+        """Close the gate's connections that are between requests.
+
+        Returns whether none is left that may still bring a request.
+        """
+        waiting = [
+            candidate
+            for candidate in self.connections_through(gate)
+            if candidate.pending is None and not candidate.is_closing
+        ]
         for connection in waiting:
-            if connection.at_rest:
-                self._drop(connection)
-        return all(c.ending for c in waiting)
+            if connection.can_close:
+                self._close_connection(connection)
+        return all(candidate.is_closing for candidate in waiting)
 
-    def hurry(self, gate: Gate, within: float) -> None:
-        """Whatever was taken through a gate is answered within so many seconds."""
-        for connection in self.through(gate):
+    def shorten_deadlines(self, gate: Gate, within: float) -> None:
+        """Bound the deadlines of all requests that came through a gate to `within` seconds from now."""
+        for connection in self.connections_through(gate):
             if connection.pending is not None:
-                connection.pending.hurry(self.loop.time() + within)
+                connection.pending.shorten_deadline(self.loop.time() + within)
 
-    def cut(self, gate: Gate) -> None:
-        """End all that came through a gate; requests in hand are over, and the decisions hear of it."""
-        for connection in self.through(gate):
+    def fence_all(self, gate: Gate) -> None:
+        """Reset all connections of a gate; the decision module is told that their clients left."""
+        for connection in self.connections_through(gate):
             connection.fence()
 
-    # Ending.
+    # Shutdown.
 
-    def leave(self) -> None:
-        """Say that this dispatcher is not ready any more, and go on serving."""
-        self.leaving = True
+    def announce_shutdown(self) -> None:
+        """Fail the readiness check from now on, and go on serving."""
+        self.is_shutting_down = True
 
-    def send_away(self) -> None:
-        """Say no to the front, and end every connection after its next answer; the listener stays."""
-        if self.away is None:
-            self.away = self.loop.time()
+    def pause(self) -> None:
+        """Fail the readiness check and close each connection after its next answer; go on accepting."""
+        if self.paused_since is None:
+            self.paused_since = self.loop.time()
 
-    def take_again(self) -> None:
-        """Say yes to the front again, and keep connections open."""
-        self.away = None
+    def resume(self) -> None:
+        """Pass the readiness check again and keep connections open."""
+        self.paused_since = None
 
     def drain(self) -> None:
-        """Every answer is its connection's last from now on, and no more connections are accepted."""
-        self.draining = True
+        """Stop accepting, and close each connection after its next answer."""
+        self.is_draining = True
         self.stop_listening()
 
     def stop_listening(self) -> None:
-        """Take what has connected already, then accept no more."""
+        """Accept the connections that wait, then close the listener."""
         if self.listener is not None:
             self.listener.close()
             self.listener = None
 
     def close_idle(self) -> None:
-        """Close the connections that owe nothing."""
+        """Close the connections that are between requests."""
         for connection in [*self.idle[1], *self.idle[2]]:
-            if connection.at_rest:
-                self._drop(connection)
+            if connection.can_close:
+                self._close_connection(connection)
 
     @property
-    def unsettled(self) -> bool:
-        """Answers are still on their way out of this process, or what came in is not read yet: a request
-        whose last byte is here counts as taken, read or not."""
-        return any(c.unwritten or not c.ending for c in self.connections)
+    def has_unfinished_work(self) -> bool:
+        """Whether answers are unwritten or requests may be unread.
+
+        A request whose last byte has arrived counts as accepted, read or not.
+        """
+        return any(connection.unwritten_bytes or not connection.is_closing for connection in self.connections)
 
     def close(self) -> None:
-        """Give everything back."""
+        """Stop listening, cancel the timer and close every connection."""
         self.stop_listening()
-        self._sweeper.cancel()
+        self._sweep_timer.cancel()
         for connection in list(self.connections):
             if connection.transport is not None:
                 connection.transport.close()
 
 
-def _slots(extra: str) -> float | None:
-    """The slots that `Req-Extra` names, 1 if it names none; None if it is malformed."""
-    figures = {"slots": "1"}
+def _requested_slots(extra: str) -> float | None:
+    """Return the slots that `Req-Extra` asks for: 1 if it names none, None if it is malformed."""
+    values = {"slots": "1"}
     for part in extra.split(",") if extra.strip() else ():
-        match = EXTRA.fullmatch(part)
+        match = EXTRA_PATTERN.fullmatch(part)
         if match is None:
             return None
-        figures[match[1]] = match[2]
-    return float(figures["slots"]) if SLOTS.fullmatch(figures["slots"]) else None
+        values[match[1]] = match[2]
+    return float(values["slots"]) if SLOTS_PATTERN.fullmatch(values["slots"]) else None
