--- a/wickgw/net/discovery.py
+++ b/wickgw/net/discovery.py
@@ -1,9 +1,9 @@
-"""The worker list: fetched whole once, then watched.
+"""The client of discovery: fetches the whole worker list once, then watches it for changes.
 
-Owns the one connection to discovery, its timer, and the version of the list that is held. News is handed on
-in the same callback that read it, since it counts as told when its bytes arrive. The list is never forgotten
-because discovery fails, and a list that could not be read to its end is never handed on. How long to wait
-and to pause is decided in watch_timing.py.
+Owns the one connection to discovery, its timer and the version of the current list. A change counts as
+delivered when its bytes arrive, so it is handed on in the callback that reads it. A failure of discovery
+keeps the current list, and a list that cannot be read to its end is discarded. `watch_timing` decides the
+timeouts and pauses.
 """
 
 import asyncio
@@ -14,156 +14,162 @@
 
 from wickgw import interface as i
 from wickgw.net import http
-from wickgw.net.listen import address
+from wickgw.net.listen import parse_address
 from wickgw.net.sockets import Connection, Sockets
 from wickgw.net.spare_socket import SpareSocket
 from wickgw.net.watch_timing import IMMEDIATE_RETRIES, WatchTiming
-from wickgw.net.worker_list import ListError, ListInParts, ListMessage, ListReader, Target
-from wickgw.observe import logger
+from wickgw.net.worker_list import ListError, ListMessage, ListParser, ListReader, Target
+from wickgw.observe import get_logger
 
-log = logger("wickgw")
+log = get_logger("wickgw")
 MAX_LIST_BYTES = 4 << 20
-# Whole lists in a row of an older version until it is believed that discovery has lost its state.
-REBUILT_AFTER = 5
+# Consecutive whole lists of an older version after which discovery counts as having lost its state.
+OLDER_LISTS_BEFORE_RESET = 5
 
 
 class DiscoveryConnection(Connection):
-    """One connection to discovery, with one call at a time on it."""
+    """One connection to discovery, which carries one call at a time."""
 
     def __init__(self, discovery: "Discovery") -> None:
         self.discovery = discovery
         self.parser = http.ResponseParser()
-        self.head: http.Head | None = None
+        self.head: http.ResponseHead | None = None
         self.body = bytearray()
 
     def opened(self) -> None:
-        """The connection can be written to."""
+        """Report that calls can be sent."""
         self.discovery.connected(self)
 
-    def never_opened(self) -> None:
-        """No transport could be had for its socket."""
-        self.discovery.closed_socket()
-        self.discovery.failed(self, "no transport")
+    def open_failed(self) -> None:
+        """Report that the socket got no transport."""
+        self.discovery.descriptor_freed()
+        self.discovery.on_failure(self, "no transport")
 
     def call(self, target: str, host: str) -> None:
-        """Send a call; its answer goes to `Discovery.answered`."""
+        """Send a call. Its answer goes to `Discovery.on_answer`."""
         self.body.clear()
         if self.transport is not None:
-            self.transport.write(http.request("GET", target, {"Host": host}))
+            self.transport.write(http.encode_request("GET", target, {"Host": host}))
 
     def received(self, data: bytes) -> None:
-        """Bytes of an answer came."""
+        """Handle bytes of an answer."""
         try:
             for part in self.parser.feed(data):
-                if isinstance(part, http.Head):
+                if isinstance(part, http.ResponseHead):
                     self.head = part
-                elif isinstance(part, http.End):
-                    self._whole(part.keep)
+                elif isinstance(part, http.EndOfResponse):
+                    self._response_complete(part.keep_alive)
                 else:
                     self.body += part
                     if len(self.body) > MAX_LIST_BYTES:
                         raise http.HttpError(502, "list too long")
         except (http.HttpError, ListError) as error:
-            self.discovery.failed(self, str(error)[:200])
+            self.discovery.on_failure(self, str(error)[:200])
 
-    def _whole(self, keep: bool) -> None:
+    def _response_complete(self, keep_alive: bool) -> None:
         if self.head is None or self.head.status != 200:
             raise ListError(f"status {self.head.status if self.head else 0}")
-        self.discovery.answered(self, bytes(self.body), keep)
+        self.discovery.on_answer(self, bytes(self.body), keep_alive)
 
     def eof_received(self) -> bool:
-        """The end of a list without a length, or the loss of the connection."""
+        """Handle the close by discovery: the end of a list without a length, or a lost connection."""
         if (end := self.parser.eof()) is not None:
             try:
-                self._whole(end.keep)
+                self._response_complete(end.keep_alive)
             except ListError as error:
-                self.discovery.failed(self, str(error)[:200])
+                self.discovery.on_failure(self, str(error)[:200])
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is closed, by whichever side."""
-        self.discovery.closed_socket()
-        self.discovery.failed(self, "connection closed")
+        """Release the connection, closed by either side."""
+        self.discovery.descriptor_freed()
+        self.discovery.on_failure(self, "connection closed")
 
 
 class Discovery:
-    """Keeps the list and goes on asking for it."""
+    """Keeps the worker list up to date, through calls that wait for changes."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         sockets: Sockets,
-        where: str,
+        address: str,
         reader: ListReader,
         on_update: Callable[[i.ListKind, list[Target]], None],
         on_unavailable: Callable[[], None],
         timing: WatchTiming,
     ) -> None:
-        self.loop, self.sockets, self.where, self.reader = loop, sockets, where, reader
+        self.loop, self.sockets, self.address, self.reader = loop, sockets, address, reader
         self.on_update, self.on_unavailable, self.timing = on_update, on_unavailable, timing
-        self.initialized = False  # the first call has ended, well or not, and the owner was told
-        self.version: int | None = None  # of the list that is held
-        self.confirmed = False  # that version is from discovery itself, not from the list known at the start
-        self.failures = 0
+        self.initialized = False  # the first call has ended, successfully or not, and its end was reported
+        self.version: int | None = None  # of the current list
+        self.confirmed = False  # the version comes from discovery, not from the list known at the start
+        self.failures = 0  # consecutive failed calls
         self.immediate_retries_left = IMMEDIATE_RETRIES
-        self.may_have_missed_updates = False  # news may be missed while the call that is out is silent
-        self.checked = False  # this connection has brought an answer
-        self.older_lists = 0  # whole lists in a row that were older than ours
-        self.ask_whole = False  # though a version is held: it is not to be built on
+        self.may_have_missed_updates = False  # a watch is open, and a change may be lost if it falls silent
+        self.has_answered = False  # this connection has brought an answer
+        self.older_lists = 0  # consecutive whole lists that were older than the current one
+        self.force_whole_list = False  # the version is not usable as a base for changes
         self.connection: DiscoveryConnection | None = None
-        self.opening: socket.socket | None = None
-        self.reading: ListInParts | None = None  # a long list, over several turns of the loop
-        self.lost_while_reading = False  # the connection that brought it
+        self.connecting_socket: socket.socket | None = None
+        self.parser: ListParser | None = None  # reads a long list over several turns of the loop
+        self.connection_lost_while_parsing = False
         self.spare_socket = SpareSocket()
-        # The one thing waited for: an answer, or the next attempt.
+        # The only timer: the timeout of a call, or the pause before the next connection.
         self.timer: asyncio.TimerHandle | None = None
         self.closed = False
 
     def resume_from(self, version: int) -> None:
-        """The list known at the start has this version (below 0: none): only what changed since is asked for.
-        A long answer costs an overbooked service more, and after a release most of us want one."""
+        """Ask only for the changes since `version`, that of the list known at the start (below 0: none).
+
+        A whole list costs an overloaded service more, and after a release most dispatchers ask at once.
+        """
         if version >= 0:
             self.version = version
 
     def open(self) -> None:
-        """Connect and ask. Any failure is tried again after a growing pause."""
-        self.checked = False
-        self._wait(self.timing.connect, self._silent)
+        """Connect and send a call. After a failure, try again after a growing pause."""
+        self.has_answered = False
+        self._set_timer(self.timing.connect_timeout, self._timed_out)
         try:
             sock = self.spare_socket.take()
         except OSError as error:
-            self.failed(None, str(error))
+            self.on_failure(None, str(error))
             return
-        self.opening = sock
-        code = sock.connect_ex(address(self.where))
-        if code not in (0, errno.EINPROGRESS):
-            self.failed(None, "refused")
+        self.connecting_socket = sock
+        error_code = sock.connect_ex(parse_address(self.address))
+        if error_code not in (0, errno.EINPROGRESS):
+            self.on_failure(None, "refused")
             return
         self.loop.add_writer(sock.fileno(), self._writable)
 
-    def move(self, where: str) -> None:
-        """Discovery is elsewhere from now on: the whole list is asked for there at once. Its versions are its
-        own, so the version held says nothing of them; the list itself is kept until the new one is in."""
-        self._lose(self.connection)
-        self.where, self.version, self.failures, self.older_lists = where, None, 0, 0
+    def change_address(self, address: str) -> None:
+        """Use discovery at another address and fetch its whole list at once.
+
+        Versions of another service are not comparable. The current list stays until the new one is read.
+        """
+        self._disconnect(self.connection)
+        self.address, self.version, self.failures, self.older_lists = address, None, 0, 0
         self.immediate_retries_left, self.may_have_missed_updates = IMMEDIATE_RETRIES, True
         self.open()
 
     def _writable(self) -> None:
-        sock, self.opening = self.opening, None
+        sock, self.connecting_socket = self.connecting_socket, None
         assert sock is not None
         self.loop.remove_writer(sock.fileno())
         if sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             sock.close()
-            self.closed_socket()
-            self.failed(None, "refused")
+            self.descriptor_freed()
+            self.on_failure(None, "refused")
             return
         self.connection = DiscoveryConnection(self)
-        self.sockets.adopt(sock, self.connection)
+        self.sockets.open_transport(sock, self.connection)
 
-    def closed_socket(self) -> None:
-        """A connection's descriptor is about to be given back: it becomes the next reserve, before the loop
-        accepts a client with it."""
+    def descriptor_freed(self) -> None:
+        """Refill the spare socket with the descriptor that is about to be released.
+
+        This happens before the loop accepts a client with it.
+        """
         if not self.closed:
             self.loop.call_soon(self._refill)
 
@@ -172,131 +178,140 @@
             self.spare_socket.refill()
 
     def connected(self, connection: DiscoveryConnection) -> None:
-        """The connection can be written to."""
+        """Send the first call on a connection that is open now."""
         if connection is self.connection:
-            self._ask()
+            self._send_call()
         else:
             connection.abort()
 
-    def _ask(self) -> None:
+    def _send_call(self) -> None:
         assert self.connection is not None
-        if self.version is None or self.ask_whole:
-            self._wait(self.timing.whole_list, self._silent)
-            self.connection.call("/api/targets", self.where)
+        if self.version is None or self.force_whole_list:
+            self._set_timer(self.timing.whole_list_timeout, self._timed_out)
+            self.connection.call("/api/targets", self.address)
             return
         self.may_have_missed_updates = True
         call = self.timing.watch
         if self.failures:
             call = self.timing.watch_after_failure
-        elif not self.checked:
+        elif not self.has_answered:
             call = self.timing.first_watch
-        self._wait(call.wait + call.silence, self._silent)
-        self.connection.call(f"/api/targets?index={self.version}&wait={round(call.wait * 1000)}", self.where)
+        self._set_timer(call.wait + call.answer_timeout, self._timed_out)
+        self.connection.call(
+            f"/api/targets?index={self.version}&wait={round(call.wait * 1000)}", self.address
+        )
+
+    def on_answer(self, connection: DiscoveryConnection, body: bytes, keep_alive: bool) -> None:
+        """Read a list or changes, apply them, then send the next call at once.
 
-    def answered(self, connection: DiscoveryConnection, body: bytes, keep: bool) -> None:
-        """A list or changes are in: hand them on, then ask for the next at once. A long list is read over
-        several turns of the loop, a short one in this call. Raises ListError."""
+        A long list is read over several turns of the loop, a short one in this call. Raises ListError.
+        """
         if connection is not self.connection:
             return
-        self.reading = self.reader.begin(body)
-        if not self._read_on(connection, keep):
-            self.loop.call_soon(self._read_later, connection, keep)
-
-    def _read_on(self, connection: DiscoveryConnection, keep: bool) -> bool:
-        """Read the next part of a list, and take it once it is whole; whether it is. Raises ListError."""
-        reading = self.reading
-        if reading is None or connection is not self.connection:  # another call has taken its place
+        self.parser = self.reader.start(body)
+        if not self._parse_next(connection, keep_alive):
+            self.loop.call_soon(self._parse_later, connection, keep_alive)
+
+    def _parse_next(self, connection: DiscoveryConnection, keep_alive: bool) -> bool:
+        """Read the next part of a list and accept the complete list.
+
+        Returns whether there is nothing left to read. Raises ListError.
+        """
+        parser = self.parser
+        if parser is None or connection is not self.connection:  # superseded by another call
             return True
         try:
-            if not reading.read_some():
+            if not parser.parse_some():
                 return False
         except ListError:
-            self.reading = None
+            self.parser = None
             raise
-        self.reading = None
-        lost, self.lost_while_reading = self.lost_while_reading, False
-        self._take(connection, reading.message(), keep and not lost)
+        self.parser = None
+        connection_was_lost, self.connection_lost_while_parsing = self.connection_lost_while_parsing, False
+        self._accept_list(connection, parser.message(), keep_alive and not connection_was_lost)
         return True
 
-    def _read_later(self, connection: DiscoveryConnection, keep: bool) -> None:
+    def _parse_later(self, connection: DiscoveryConnection, keep_alive: bool) -> None:
         try:
-            if not self._read_on(connection, keep):
-                self.loop.call_soon(self._read_later, connection, keep)
+            if not self._parse_next(connection, keep_alive):
+                self.loop.call_soon(self._parse_later, connection, keep_alive)
         except ListError as error:
-            self.failed(connection, str(error)[:200])
+            self.on_failure(connection, str(error)[:200])
 
-    def _take(self, connection: DiscoveryConnection, message: ListMessage, keep: bool) -> None:
-        """A whole answer has been read. Raises ListError."""
+    def _accept_list(self, connection: DiscoveryConnection, message: ListMessage, keep_alive: bool) -> None:
+        """Accept a parsed list. Raises ListError if it does not fit the current list."""
         version, whole, targets = message.version, message.whole, message.targets
         if self.version is not None and version < self.version:
             self.older_lists += whole
-            self.ask_whole = True
-            if not whole or (self.confirmed and self.older_lists < REBUILT_AFTER):
+            self.force_whole_list = True
+            if not whole or (self.confirmed and self.older_lists < OLDER_LISTS_BEFORE_RESET):
                 raise ListError(f"version {version} after {self.version}")
             log.warning("discovery.anew", version=version)
         if not whole and self.version is None:
             raise ListError("changes to a list never given")
         self.reader.accept(message)
-        self.reader.start_times.answered(self.loop.time())
+        self.reader.start_times.list_answered(self.loop.time())
         self.failures = self.older_lists = 0
         self.immediate_retries_left, self.may_have_missed_updates = IMMEDIATE_RETRIES, False
-        self.checked = self.confirmed = True
-        self.ask_whole = False
+        self.has_answered = self.confirmed = True
+        self.force_whole_list = False
         if whole or targets or not self.initialized:
             self.initialized = True
             self.on_update(i.ListKind.REPLACE if whole else i.ListKind.UPDATE, targets)
         self.version = version
-        if keep:
-            self._ask()
+        if keep_alive:
+            self._send_call()
         else:
-            self._lose(connection)
+            self._disconnect(connection)
             self.open()
 
-    def failed(self, connection: DiscoveryConnection | None, why: str, immediate: bool = False) -> None:
-        """Discovery is out of reach or talks nonsense: the list is kept, and it is asked again in a while, or
-        at once if it is only the way to it that is broken."""
+    def on_failure(self, connection: DiscoveryConnection | None, why: str, immediate: bool = False) -> None:
+        """Handle a failed call: keep the list, and try again after a pause.
+
+        The pause is short with `immediate`, which is for a connection that fell silent.
+        """
         if self.closed or connection is not self.connection:
             return
-        if self.reading is not None:  # its answer is in, and on its way through: it is taken all the same
-            self.lost_while_reading = True
+        if self.parser is not None:  # the answer is here and still being read: it remains valid
+            self.connection_lost_while_parsing = True
             return
-        self._lose(connection)
+        self._disconnect(connection)
         self.failures += 1
         pause = self.timing.pause(self.failures, immediate)
         if self.failures in (1, 10, 100):
             log.warning("discovery.failed", why=str(why), failures=self.failures)
-        self._wait(random.uniform(pause.shortest, pause.longest), self.open)
+        self._set_timer(random.uniform(pause.shortest, pause.longest), self.open)
         if not self.initialized:
             self.initialized = True
             self.on_unavailable()
 
-    def _silent(self) -> None:
+    def _timed_out(self) -> None:
         immediate = self.may_have_missed_updates and self.immediate_retries_left > 0
         self.immediate_retries_left -= immediate
-        self.failed(self.connection, "silent", immediate)
+        self.on_failure(self.connection, "silent", immediate)
 
-    def _wait(self, seconds: float, then: Callable[[], None]) -> None:
+    def _set_timer(self, seconds: float, callback: Callable[[], None]) -> None:
         if self.timer is not None:
             self.timer.cancel()
         if not self.initialized:
-            seconds = min(seconds, self.timing.first_answer)
-        self.timer = self.loop.call_later(seconds, then)
-
-    def _lose(self, connection: DiscoveryConnection | None) -> None:
-        """Give back the socket, at whatever stage it is."""
-        self.connection, self.reading, self.lost_while_reading = None, None, False
-        if self.opening is not None:
-            self.loop.remove_writer(self.opening.fileno())
-            self.opening.close()
-            self.opening = None
+            seconds = min(seconds, self.timing.first_answer_timeout)
+        self.timer = self.loop.call_later(seconds, callback)
+
+    def _disconnect(self, connection: DiscoveryConnection | None) -> None:
+        """Release the socket, connected or not."""
+        self.connection, self.parser, self.connection_lost_while_parsing = None, None, False
+        if self.connecting_socket is not None:
+            self.loop.remove_writer(self.connecting_socket.fileno())
+            self.connecting_socket.close()
+            self.connecting_socket = None
             self.spare_socket.refill()
         if connection is not None:
             connection.abort()
 
     def close(self) -> None:
-        """Stop asking and give everything back."""
+        """Stop the calls and release the timer, the connection and the spare socket."""
         self.closed = True
         if self.timer is not None:
             self.timer.cancel()
-        self._lose(self.connection)
+        self._disconnect(self.connection)
         self.spare_socket.close()
--- a/wickgw/net/dispatch.py
+++ b/wickgw/net/dispatch.py
@@ -1,10 +1,10 @@
-"""Pending requests, and the one place where the decisions are asked for and carried out.
+"""Pending requests, and the driver of the decision module.
 
-Owns the Balancer, the clock it is told, its Wakes, and each request from its coming until it is
-answered and all its attempts have ended. Whoever speaks to clients hands requests in and gets one answer for
-each; whoever speaks to workers is told of attempts to start or give up and reports what became of them. It
-must never choose a worker, a retry, a refusal or a delay, call the Balancer from two places, or know what a
-protocol looks like: a second one for clients, or another source of lists, joins by the same few methods.
+Owns the Balancer, the clock it reads, its timers, and each request from arrival until it is answered and all
+its attempts have ended. The client side submits requests and gets one answer for each. The worker side is
+asked to start or cancel attempts and reports how they end. This module chooses no worker, retry, refusal or
+delay, calls the Balancer from a single place, and knows no wire protocol. A second client protocol or another
+source of lists uses the same methods.
 """
 
 import asyncio
@@ -19,69 +19,75 @@
 
 from wickgw import interface as i
 from wickgw.balance import Balancer
-from wickgw.observe import logger
+from wickgw.observe import get_logger
 
-log = logger("wickgw")
-GRACE = 0.003  # seconds that the guard leaves to attempts that time out at the same moment
-STALL = 0.05  # seconds by which a Wake is late when the loop has stood still; counted, so that it is seen
+log = get_logger("wickgw")
+TIMEOUT_GRACE_S = 0.003  # lets attempts that time out at the same moment report before the request fails
+STALL_THRESHOLD_S = 0.05  # a timer that fires later than this, or a longer step, counts as a stall
 
 
 class Clock:
-    """Monotonic seconds, and how Unix time maps to them: fixed once, since the Balancer knows a restarted
-    worker by an unequal start time, and an offset read twice would restart the whole fleet."""
+    """Monotonic seconds, and the offset of Unix time from them.
+
+    The offset is read once. The Balancer recognises a restarted worker by a changed start time, so a second
+    reading of the offset would look like a restart of the whole fleet.
+    """
 
     def __init__(self) -> None:
         self.now: Callable[[], float] = time.monotonic
-        self.offset = time.time() - time.monotonic()
-        # Leases are counted on a clock that goes on while the machine sleeps.
-        self.awake: Callable[[], float] = functools.partial(time.clock_gettime, time.CLOCK_BOOTTIME)
+        self.unix_offset = time.time() - time.monotonic()
+        # CLOCK_BOOTTIME goes on while the machine is suspended, as leases require.
+        self.boottime: Callable[[], float] = functools.partial(time.clock_gettime, time.CLOCK_BOOTTIME)
 
     def at_unix_ms(self, ms: float) -> float | None:
-        """A moment given in Unix milliseconds; 0 means long ago."""
-        return ms / 1000 - self.offset if ms else None
+        """Convert Unix milliseconds to this clock's seconds. Returns None for 0, which means long ago."""
+        return ms / 1000 - self.unix_offset if ms else None
 
 
 class AnswerKind(Enum):
-    """What became of a request."""
+    """The outcome of a request."""
 
     SERVED = "served"
-    REFUSED = "refused"  # trying again is harmless
+    REFUSED = "refused"  # a retry is harmless
     FAILED = "failed"
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The one final answer to a request."""
+    """The final answer to a request."""
 
     kind: AnswerKind
-    result: bytes = b""  # what a worker made, for SERVED
+    result: bytes = b""  # the worker's output, for SERVED
     retry_after: float = 0.0  # seconds, for REFUSED
 
 
-class ClientSide(Protocol):
-    """Where a request came from."""
+class AnswerReceiver(Protocol):
+    """The client side of a request."""
 
     def answer(self, answer: Answer) -> None:
-        """Write the final answer. Called once, and not after `left`."""
+        """Write the final answer. Called at most once, and never after the client left."""
+
+    def has_disconnected(self) -> bool:
+        """Return whether the client has ended its side, even if the loop has not reported that yet."""
 
-    def has_left(self) -> bool:
-        """Whether the client has ended its side, though the loop may not have come to that yet."""
 
+class AttemptRunner(Protocol):
+    """The worker side: runs attempts."""
 
-class WorkerSide(Protocol):
-    """What carries attempts out."""
+    def start(self, pending: "PendingRequest", number: int, worker: str, deadline: float) -> None:
+        """Start attempt `number`, counted from 0, of a request.
 
-    def start(self, pending: "PendingRequest", number: int, worker: str, until: float) -> None:
-        """Start an attempt; its end is reported by `Dispatcher.ended`, exactly once."""
+        Its end is reported to `Dispatcher.attempt_ended`, exactly once.
+        """
 
-    def hurry(self, until: float, request: str | None = None) -> None:
-        """No attempt (of that request) is waited for any longer than that."""
+    def shorten_deadlines(self, deadline: float, request_id: str | None = None) -> None:
+        """Let no attempt, or no attempt of `request_id`, run past `deadline`."""
 
-    def cancel(self, request: str, number: int) -> None:
-        """Give an attempt up, if it is still out."""
+    def cancel(self, request_id: str, number: int) -> None:
+        """Cancel an attempt if it has not ended."""
 
-    def withdraw(self, request: str, number: int) -> None:
-        """Give an attempt up if nothing of it is written yet: its request is over."""
+    def cancel_unsent(self, request_id: str, number: int) -> None:
+        """Cancel an attempt of a finished request if none of its bytes is written."""
 
     def close_idle(self, worker: str) -> None:
         """Close the idle connections to a worker."""
@@ -89,276 +95,302 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """One request, from its coming until it is answered and its last attempt has ended."""
+    """One request, from arrival until it is answered and its last attempt has ended."""
 
     id: str
-    cls: int
-    due: float  # the final answer is out by then
-    job: Any  # what the client's side hands to the workers' side; not looked at here
-    client: ClientSide | None  # None once answered or gone
+    class_index: int  # index into the settings' classes
+    deadline: float  # loop time by which the final answer is due
+    job: Any  # passed through from the client side to the worker side
+    client: AnswerReceiver | None  # None once the request is answered or the client left
     slots: float = 1.0
     tenant: int = 0  # index into the settings' tenants; -1: none of them
-    most: int | None = None  # attempts, if its route allows fewer
-    home: "Dispatcher | None" = None  # whose it is, once taken
-    attempts: int = 0  # started
-    out: dict[int, str] = field(default_factory=dict)  # those without an outcome, and at which worker
-    guard: asyncio.TimerHandle | None = None
+    max_attempts: int | None = None  # if the route allows fewer than the settings
+    dispatcher: "Dispatcher | None" = None  # set once the request is accepted
+    attempts_started: int = 0
+    open_attempts: dict[int, str] = field(default_factory=dict)  # attempt number -> worker, until the outcome
+    deadline_timer: asyncio.TimerHandle | None = None
 
-    def leave(self) -> None:
-        """Its client is gone."""
-        if self.home is not None:
-            self.home.left(self)
+    def client_left(self) -> None:
+        """Report that the client disconnected."""
+        if self.dispatcher is not None:
+            self.dispatcher.client_left(self)
 
-    def hurry(self, due: float) -> None:
-        """Its answer must be out by then."""
-        if self.home is not None:
-            self.home.hurry(self, due)
+    def shorten_deadline(self, deadline: float) -> None:
+        """Bring the deadline forward to `deadline` if that is earlier."""
+        if self.dispatcher is not None:
+            self.dispatcher.shorten_deadline(self, deadline)
 
 
 class Dispatcher:
-    """Runs one Balancer on the loop: events in, actions carried out in order."""
+    """Runs one Balancer on the loop: feeds it events and carries out its actions in order."""
 
     def __init__(
-        self, balancer: Balancer, loop: asyncio.AbstractEventLoop, clock: Clock, workers: WorkerSide
+        self, balancer: Balancer, loop: asyncio.AbstractEventLoop, clock: Clock, attempt_runner: AttemptRunner
     ) -> None:
-        self.balancer, self.loop, self.clock, self.workers = balancer, loop, clock, workers
-        self.pending: dict[str, PendingRequest] = {}
-        self.on_attempt_ended: Callable[[str, i.Verdict], None] | None = None
+        self.balancer, self.loop, self.clock, self.attempt_runner = balancer, loop, clock, attempt_runner
+        self.pending: dict[str, PendingRequest] = {}  # by request id
+        self.on_attempt_ended: Callable[[str, i.Verdict], None] | None = None  # gets worker and verdict
         self.counters: Counter[str] = Counter()
-        self.max_stall = 0.0
-        self.longest: tuple[float, str] = (0.0, "")  # the longest step of the decisions: seconds, and on what
-        self.stop_by: float | None = None  # the process ends then
-        self._just_read: PendingRequest | None = None  # its client was there a moment ago, in this callback
+        self.max_stall_s = 0.0
+        self.longest_step: tuple[float, str] = (
+            0.0,
+            "",
+        )  # the Balancer's longest call: seconds, and its event
+        self.stop_deadline: float | None = None  # when the process ends, once it is stopping
+        self._arriving: PendingRequest | None = None  # being submitted, so its client was just connected
         self._events: deque[i.Event] = deque()
-        self._running = False
-        self._wakes: dict[int, asyncio.TimerHandle] = {}
-        self._serial = itertools.count()
+        self._is_running = False
+        self._timers: dict[int, asyncio.TimerHandle] = {}
+        self._timer_ids = itertools.count()
 
     @property
-    def owed(self) -> int:
-        """Requests without their final answer."""
-        return sum(c.client is not None for c in self.pending.values())
+    def unanswered(self) -> int:
+        """The number of requests without a final answer."""
+        return sum(pending.client is not None for pending in self.pending.values())
 
-    # What the sides report.
+    # Reports from the client side, the worker side and discovery.
 
     def begin(self, known: tuple[i.Entry, ...]) -> None:
-        """The Balancer's life begins, with the list as it was held last."""
-        self._feed(i.Began())
-        self._feed(i.WorkerList(i.ListKind.RESTORED, known))
+        """Start the Balancer with the last known worker list."""
+        self._enqueue(i.Began())
+        self._enqueue(i.WorkerList(i.ListKind.RESTORED, known))
 
-    def listed(self, kind: i.ListKind, entries: tuple[i.Entry, ...]) -> None:
-        """News of the list; it counts as told, so it is acted on at once."""
+    def update_list(self, kind: i.ListKind, entries: tuple[i.Entry, ...]) -> None:
+        """Pass on a change of the worker list. Applied at once, since it counts as delivered from now on."""
         self.counters["lists"] += 1
-        self._feed(i.WorkerList(kind, entries))
+        self._enqueue(i.WorkerList(kind, entries))
 
-    def take(self, pending: PendingRequest) -> bool:
-        """A request has come; from here on it is owed an answer. False if its id is still in use."""
+    def submit(self, pending: PendingRequest) -> bool:
+        """Accept a request, which gets exactly one answer. Returns False if its id is in use."""
         if pending.id in self.pending:
             return False
         self.counters["taken"] += 1
-        pending.home = self
-        if self.stop_by is not None:
-            pending.due = min(pending.due, self.stop_by)
+        pending.dispatcher = self
+        if self.stop_deadline is not None:
+            pending.deadline = min(pending.deadline, self.stop_deadline)
         self.pending[pending.id] = pending
-        # The Balancer answers in time by itself. Should it fail at that, the client is still told.
-        self._guard(pending)
-        patience = pending.due - self.clock.now()
-        self._just_read = pending
-        self._feed(i.Arrival(pending.id, pending.cls, patience, pending.tenant, pending.slots, pending.most))
-        self._just_read = None
+        # The Balancer answers in time by itself. The timer answers the client if the Balancer fails to.
+        self._set_deadline_timer(pending)
+        patience = pending.deadline - self.clock.now()
+        self._arriving = pending
+        self._enqueue(
+            i.Arrival(
+                pending.id, pending.class_index, patience, pending.tenant, pending.slots, pending.max_attempts
+            )
+        )
+        self._arriving = None
         return True
 
-    def left(self, pending: PendingRequest) -> None:
-        """The client is gone; written attempts are followed to their end, no other is written now."""
+    def client_left(self, pending: PendingRequest) -> None:
+        """Handle the disconnect of a client. Written attempts run to their end; unsent ones are cancelled."""
         if pending.client is None:
             return
         self.counters["answer.client_left"] += 1
-        self._conclude(pending)
-        self._feed(i.ClientLeft(pending.id))
-        self._withdraw(pending)
-        self._forget(pending)
+        self._detach_client(pending)
+        self._enqueue(i.ClientLeft(pending.id))
+        self._cancel_unsent(pending)
+        self._discard_if_done(pending)
 
-    def may_write(self, pending: PendingRequest) -> bool:
-        """Whether an attempt may still be written: looked at in the moment before its first byte.
+    def may_send(self, pending: PendingRequest) -> bool:
+        """Return whether an attempt may still be written; called right before its first byte.
 
-        A loop that stood still finds the client's end, due timers and workers' answers in one turn, in any
-        order; an attempt that follows from one of the others must not overtake the end.
+        After a stall, the loop finds the client's disconnect, due timers and workers' answers in one turn, in
+        any order. An attempt that results from one of the others must not be sent ahead of the disconnect.
         """
         client = pending.client
-        if client is not None and pending is not self._just_read and client.has_left():
+        if client is not None and pending is not self._arriving and client.has_disconnected():
             self.counters["left_before_attempt"] += 1
-            self.left(pending)
+            self.client_left(pending)
         return pending.client is not None
 
-    def started(self, request: str, number: int) -> None:
-        """A worker has begun an attempt."""
-        self._feed(i.Started(request, number))
+    def attempt_started(self, request_id: str, number: int) -> None:
+        """Report that a worker has begun an attempt."""
+        self._enqueue(i.Started(request_id, number))
 
-    def progress(self, request: str, number: int, share: float = 0.0) -> None:
-        """A worker is still at an attempt, and says how much of the job is done (0: it doesn't)."""
+    def attempt_progressed(self, request_id: str, number: int, share: float = 0.0) -> None:
+        """Report that an attempt is still running. `share` is the part that is done; 0 if unknown."""
         self.counters["progress"] += 1
-        self._feed(i.Progress(request, number, share))
-
-    def ended(
-        self, request: str, number: int, verdict: i.Verdict, result: bytes = b"", free: float | None = None
+        self._enqueue(i.Progress(request_id, number, share))
+
+    def attempt_ended(
+        self,
+        request_id: str,
+        number: int,
+        verdict: i.Verdict,
+        result: bytes = b"",
+        free: float | None = None,
     ) -> None:
-        """The one end of an attempt, with the free slots that the worker reported. The first that is served
-        is the answer."""
-        pending = self.pending.get(request)
-        if pending is None or number not in pending.out:  # told already, see _start
+        """Report the end of an attempt; the first successful one answers the request.
+
+        `free` is the number of free slots that the worker reported, if any.
+        """
+        pending = self.pending.get(request_id)
+        if pending is None or number not in pending.open_attempts:  # already reported by _start_attempt
             return
         self.counters[f"try.{verdict.value}"] += 1
-        worker = pending.out.pop(number)
+        worker = pending.open_attempts.pop(number)
         if verdict is i.Verdict.OK:
             self._answer(pending, Answer(AnswerKind.SERVED, result))
-        self._feed(i.Outcome(request, number, verdict, over=pending.client is None, free=free))
+        self._enqueue(i.Outcome(request_id, number, verdict, over=pending.client is None, free=free))
         if self.on_attempt_ended is not None:
             self.on_attempt_ended(worker, verdict)
-        self._withdraw(pending)
-        self._forget(pending)
+        self._cancel_unsent(pending)
+        self._discard_if_done(pending)
 
     def stop(self, within: float) -> None:
-        """The process ends in so many seconds: whatever is owed is answered before."""
-        self.stop_by = self.clock.now() + within
+        """Bound all deadlines, since the process ends in `within` seconds."""
+        self.stop_deadline = self.clock.now() + within
         for pending in self.pending.values():
-            if pending.client is not None and pending.due > self.stop_by:
-                pending.due = self.stop_by
-                self._guard(pending)
-        self.workers.hurry(self.stop_by)
-        self._feed(i.Stopping(within))
-
-    def hurry(self, pending: PendingRequest, due: float) -> None:
-        """What this request is owed must be out by then, whatever its client has said."""
-        if pending.client is None or pending.due <= due:
+            if pending.client is not None and pending.deadline > self.stop_deadline:
+                pending.deadline = self.stop_deadline
+                self._set_deadline_timer(pending)
+        self.attempt_runner.shorten_deadlines(self.stop_deadline)
+        self._enqueue(i.Stopping(within))
+
+    def shorten_deadline(self, pending: PendingRequest, deadline: float) -> None:
+        """Bring the deadline of a request forward to `deadline` if that is earlier."""
+        if pending.client is None or pending.deadline <= deadline:
             return
         self.counters["hurried"] += 1
-        pending.due = due
-        self._guard(pending)
-        self.workers.hurry(due, pending.id)
-        self._feed(i.Hurry(pending.id, max(0.0, due - self.clock.now())))
+        pending.deadline = deadline
+        self._set_deadline_timer(pending)
+        self.attempt_runner.shorten_deadlines(deadline, pending.id)
+        self._enqueue(i.Hurry(pending.id, max(0.0, deadline - self.clock.now())))
 
     def close(self) -> None:
-        """Give back every timer."""
-        for handle in [*self._wakes.values(), *(c.guard for c in self.pending.values() if c.guard)]:
+        """Cancel every timer."""
+        for handle in [
+            *self._timers.values(),
+            *(pending.deadline_timer for pending in self.pending.values() if pending.deadline_timer),
+        ]:
             handle.cancel()
-        self._wakes.clear()
+        self._timers.clear()
 
-    # Events to the Balancer, its actions out.
+    # Events to the Balancer, and its actions.
 
-    def _feed(self, event: i.Event) -> None:
-        """Queue an event; the outermost call works the queue off, so actions are never overtaken by the
-        events that they cause."""
+    def _enqueue(self, event: i.Event) -> None:
+        """Queue an event. The outermost call processes the queue, so that the actions of an event are all
+        carried out before the events that they cause.
+        """
         self._events.append(event)
-        if self._running:
+        if self._is_running:
             return
-        self._running = True
+        self._is_running = True
         try:
             while self._events:
                 self._handle(self._events.popleft())
         finally:
-            self._running = False
+            self._is_running = False
 
     def _handle(self, event: i.Event) -> None:
-        began = self.clock.now()
+        started_at = self.clock.now()
         try:
-            actions = self.balancer.handle(event, began)
-        except Exception:  # one event's loss; what it was about is answered by its guard at the latest
+            actions = self.balancer.handle(event, started_at)
+        except Exception:  # only this event is lost; the deadline timers still answer its requests
             self.counters["errors"] += 1
             log.exception("balancer.failed", on=type(event).__name__)
-            if isinstance(event, i.Timer):  # a tick that is lost would be the last one
-                self._run(i.Wake(event.name, 0.1))
+            if isinstance(event, i.Timer):  # the Balancer sets its next tick in a tick: fire this one again
+                self._execute(i.Wake(event.name, 0.1))
             return
-        if (took := self.clock.now() - began) > self.longest[0]:
-            self.longest = took, event.name if isinstance(event, i.Timer) else type(event).__name__
-            if took > STALL:  # each is longer than all before it: a few lines in a process's life
-                log.warning("step.long", on=self.longest[1], ms=round(took * 1000, 1))
+        if (elapsed := self.clock.now() - started_at) > self.longest_step[0]:
+            self.longest_step = elapsed, event.name if isinstance(event, i.Timer) else type(event).__name__
+            if elapsed > STALL_THRESHOLD_S:  # each is longer than all before it, so there are few lines
+                log.warning("step.long", on=self.longest_step[1], ms=round(elapsed * 1000, 1))
         for action in actions:
             try:
-                self._run(action)
+                self._execute(action)
             except Exception:
                 self.counters["errors"] += 1
                 log.exception("action.failed", action=type(action).__name__)
 
-    def _run(self, action: i.Action) -> None:
+    def _execute(self, action: i.Action) -> None:
         match action:
-            case i.Send(request, worker, timeout):
-                self._start(self.pending[request], worker, timeout)
-            case i.Cancel(request, number):
-                self.workers.cancel(request, number)
+            case i.Send(request_id, worker, timeout):
+                self._start_attempt(self.pending[request_id], worker, timeout)
+            case i.Cancel(request_id, number):
+                self.attempt_runner.cancel(request_id, number)
             case i.Close(worker):
-                self.workers.close_idle(worker)
-            case i.Refuse(request, after):
-                self._give_up(self.pending[request], Answer(AnswerKind.REFUSED, retry_after=after))
-            case i.Fail(request):
-                self._give_up(self.pending[request], Answer(AnswerKind.FAILED))
-            case i.Wake(name, after):
-                serial, due = next(self._serial), self.loop.time() + after
-                self._wakes[serial] = self.loop.call_at(due, self._wake, serial, name, due)
+                self.attempt_runner.close_idle(worker)
+            case i.Refuse(request_id, delay_s):
+                self._finish(self.pending[request_id], Answer(AnswerKind.REFUSED, retry_after=delay_s))
+            case i.Fail(request_id):
+                self._finish(self.pending[request_id], Answer(AnswerKind.FAILED))
+            case i.Wake(name, delay_s):
+                timer_id, deadline = next(self._timer_ids), self.loop.time() + delay_s
+                self._timers[timer_id] = self.loop.call_at(
+                    deadline, self._timer_fired, timer_id, name, deadline
+                )
             case i.Subscribe():
-                pass  # discovery watches from the start, whatever the settings say of asking
+                pass  # discovery watches from the start, whatever the settings say
 
-    def _start(self, pending: PendingRequest, worker: str, timeout: float) -> None:
-        until = min(pending.due, self.clock.now() + timeout) if timeout > 0 else pending.due
-        number, pending.attempts = pending.attempts, pending.attempts + 1
-        pending.out[number] = worker
+    def _start_attempt(self, pending: PendingRequest, worker: str, timeout: float) -> None:
+        deadline = min(pending.deadline, self.clock.now() + timeout) if timeout > 0 else pending.deadline
+        number, pending.attempts_started = pending.attempts_started, pending.attempts_started + 1
+        pending.open_attempts[number] = worker
         self.counters["tries"] += 1
         try:
-            self.workers.start(pending, number, worker, until)
-        except Exception:  # no end of it may ever come, and the Balancer waits for one: it may have run
+            self.attempt_runner.start(pending, number, worker, deadline)
+        except Exception:  # the attempt may have run, and the Balancer waits for an outcome: report an error
             self.counters["errors"] += 1
             log.exception("try.not-started")
-            self.ended(pending.id, number, i.Verdict.ERROR)
+            self.attempt_ended(pending.id, number, i.Verdict.ERROR)
 
-    def _wake(self, serial: int, name: str, due: float) -> None:
-        del self._wakes[serial]
-        late = self.loop.time() - due
-        if late > STALL:
+    def _timer_fired(self, timer_id: int, name: str, deadline: float) -> None:
+        del self._timers[timer_id]
+        delay = self.loop.time() - deadline
+        if delay > STALL_THRESHOLD_S:
             self.counters["stalls"] += 1
-            self.max_stall = max(self.max_stall, late)
-        self._feed(i.Timer(name))
+            self.max_stall_s = max(self.max_stall_s, delay)
+        self._enqueue(i.Timer(name))
 
     # Pending requests.
 
-    def _give_up(self, pending: PendingRequest, answer: Answer) -> None:
+    def _finish(self, pending: PendingRequest, answer: Answer) -> None:
         self._answer(pending, answer)
-        self._withdraw(pending)
+        self._cancel_unsent(pending)
 
     def _answer(self, pending: PendingRequest, answer: Answer) -> None:
         client = pending.client
-        if client is None:  # a second copy's end, or the client is gone
+        if client is None:  # already answered by a hedged attempt, or the client left
             return
         self.counters[f"answer.{answer.kind.value}"] += 1
-        self._conclude(pending)
+        self._detach_client(pending)
         client.answer(answer)
-        self._forget(pending)
+        self._discard_if_done(pending)
 
-    def _conclude(self, pending: PendingRequest) -> None:
+    def _detach_client(self, pending: PendingRequest) -> None:
         pending.client = None
-        if pending.guard is not None:
-            pending.guard.cancel()
-            pending.guard = None
+        if pending.deadline_timer is not None:
+            pending.deadline_timer.cancel()
+            pending.deadline_timer = None
 
-    def _withdraw(self, pending: PendingRequest) -> None:
-        """Of a request that is over nothing more is written. Said to the Balancer after the end itself."""
-        for number in sorted(pending.out) if pending.client is None else ():
-            self.workers.withdraw(pending.id, number)
+    def _cancel_unsent(self, pending: PendingRequest) -> None:
+        """Cancel the unsent attempts of a finished request, after the Balancer was told of its end."""
+        for number in sorted(pending.open_attempts) if pending.client is None else ():
+            self.attempt_runner.cancel_unsent(pending.id, number)
 
-    def _forget(self, pending: PendingRequest) -> None:
-        if pending.client is None and not pending.out:
+    def _discard_if_done(self, pending: PendingRequest) -> None:
+        if pending.client is None and not pending.open_attempts:
             self.pending.pop(pending.id, None)
 
-    def _guard(self, pending: PendingRequest) -> None:
-        if pending.guard is not None:
-            pending.guard.cancel()
-        pending.guard = self.loop.call_at(pending.due, self._overdue, pending)
+    def _set_deadline_timer(self, pending: PendingRequest) -> None:
+        if pending.deadline_timer is not None:
+            pending.deadline_timer.cancel()
+        pending.deadline_timer = self.loop.call_at(pending.deadline, self._deadline_passed, pending)
 
-    def _overdue(self, pending: PendingRequest, again: bool = False) -> None:
-        """The guard. Attempts time out in this moment too: the Balancer is left to hear of them first."""
-        if pending.client is not None and (again or not pending.out):
+    def _deadline_passed(self, pending: PendingRequest, grace_passed: bool = False) -> None:
+        """Fail a request at its deadline.
+
+        Attempts time out at the same moment. While some are open, the request gets TIMEOUT_GRACE_S more, so
+        that the Balancer handles their outcomes first.
+        """
+        if pending.client is not None and (grace_passed or not pending.open_attempts):
             self.counters["guarded"] += 1
             log.error("request.guarded", id=pending.id)
             self._answer(pending, Answer(AnswerKind.FAILED))
-            self._feed(i.ClientLeft(pending.id))
-            self._withdraw(pending)
+            self._enqueue(i.ClientLeft(pending.id))
+            self._cancel_unsent(pending)
         elif pending.client is not None:
-            pending.guard = self.loop.call_later(GRACE, self._overdue, pending, True)
+            pending.deadline_timer = self.loop.call_later(
+                TIMEOUT_GRACE_S, self._deadline_passed, pending, True
+            )
--- a/wickgw/net/job_events.py
+++ b/wickgw/net/job_events.py
@@ -1,4 +1,4 @@
-"""Job events: the lines of a label worker's answer. No I/O."""
+"""Job events: the lines of a label worker's answer, parsed without I/O."""
 
 from typing import Any
 
@@ -6,30 +6,30 @@
 
 from wickgw import interface as i
 
-# What the last event of an attempt that was not served means.
-LAST_VERDICTS = {"failed": i.Verdict.ERROR, "returned": i.Verdict.FULL, "lost": i.Verdict.RESET}
+# The outcome of an attempt by the final event of a job that was not done.
+FINAL_VERDICTS = {"failed": i.Verdict.ERROR, "returned": i.Verdict.FULL, "lost": i.Verdict.RESET}
 
 
 class JobEvent(msgspec.Struct):
-    """A line of a label worker's answer, as far as it is read."""
+    """One line of a label worker's answer. Other fields are ignored."""
 
     id: str
     state: str
     result: str | None = None
-    share: Any = None  # of the job that is done
-    load: Any = None  # the worker's load report. Nonsense in either is passed over: the job is none the worse
+    share: Any = None  # the part of the job that is done
+    load: Any = None  # the worker's load report; like `share`, ignored if malformed, as the job is unaffected
 
 
-_DECODER = msgspec.json.Decoder(JobEvent)
+EVENT_DECODER = msgspec.json.Decoder(JobEvent)
 
 
-def read_event(line: bytes, request: str) -> JobEvent:
-    """One line, which has to be about this request. Raises ValueError."""
+def read_event(line: bytes, request_id: str) -> JobEvent:
+    """Parse one line. Raises ValueError if it is malformed or about another request."""
     try:
-        event = _DECODER.decode(line)
+        event = EVENT_DECODER.decode(line)
     except msgspec.MsgspecError as error:
         raise ValueError(f"not a job event: {error}") from error
-    if event.id != request:
+    if event.id != request_id:
         raise ValueError("job event that is not about this attempt")
     if event.state == "done" and event.result is None:
         raise ValueError("a job done without a result")
--- a/wickgw/net/listen.py
+++ b/wickgw/net/listen.py
@@ -1,20 +1,23 @@
-"""Addresses and listening sockets, with nothing around them: a process listens before all else is loaded.
+"""Addresses and listening sockets.
 
-Owns nothing: whoever asks for a socket closes it. It must never import asyncio, or what takes long to load.
+This module imports neither asyncio nor anything else that is slow to load, since a process listens before the
+rest of the program is loaded. The caller closes the sockets.
 """
 
 import socket
 
 
-def listening(where: tuple[str, int], backlog: int, shared_port: bool = False) -> socket.socket:
-    """A listening socket that doesn't block, bound where it is told; `shared_port` lets another process
-    bind the same address beside it. Raises OSError, with nothing left open."""
+def open_listening_socket(address: tuple[str, int], backlog: int, shared_port: bool = False) -> socket.socket:
+    """Open a non-blocking listening socket on `address`.
+
+    `shared_port` lets another process listen on the same address. Raises OSError, with no socket left open.
+    """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if shared_port:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        sock.bind(where)
+        sock.bind(address)
         sock.listen(backlog)
     except OSError:
         sock.close()
@@ -22,8 +25,8 @@
     return sock
 
 
-def address(text: str) -> tuple[str, int]:
-    """'10.0.0.1:7070' as a socket address. Raises ValueError."""
+def parse_address(text: str) -> tuple[str, int]:
+    """Convert text such as '10.0.0.1:7070' to a socket address. Raises ValueError."""
     host, colon, port = text.rpartition(":")
     try:
         socket.inet_aton(host)
--- a/wickgw/net/mgmt.py
+++ b/wickgw/net/mgmt.py
@@ -1,9 +1,8 @@
-"""The second address: the socket that operators' calls come to, and its connections.
+"""The management port: the listening socket for operators' calls, and its connections.
 
-Owns the listening socket of `mgmt`, every caller's connection and the one timer that the callers' deadlines
-share. What a call means, and whether it is whole, is decided in `wickgw.service.calls`; what the node says to
-it is the node's. It must never read more than the bounds of a call allow, nor let callers that say nothing
-take the descriptors of clients.
+Owns the listening socket of the setting `mgmt`, the connection of each caller and the one timer for their
+deadlines. `wickgw.service.calls` decides whether a call is complete and valid; the node carries it out. Input
+is bounded, and silent callers cannot take the descriptors of clients.
 """
 
 import asyncio
@@ -12,61 +11,65 @@
 from collections.abc import Callable
 
 from wickgw.net.sockets import Connection, Sockets
-from wickgw.observe import logger
-from wickgw.service import calls as c
+from wickgw.observe import get_logger
+from wickgw.service import calls as service_calls
 
-log = logger("wickgw")
-ACCEPT_PAUSE = 0.05  # seconds without accepting after it failed
+log = get_logger("wickgw")
+ACCEPT_PAUSE_S = 0.05  # pause after a failed accept
 
 
 class Caller(Connection):
-    """One caller's connection."""
+    """The connection of one caller."""
 
-    def __init__(self, mgmt: "Mgmt", number: int) -> None:
-        self.mgmt, self.number = mgmt, number
+    def __init__(self, server: "ManagementServer", number: int) -> None:
+        self.server, self.number = server, number
 
     def opened(self) -> None:
-        self.mgmt.handle(c.Opened(self.number))
+        """Report the opened connection."""
+        self.server.handle(service_calls.Opened(self.number))
 
     def received(self, data: bytes) -> None:
-        self.mgmt.handle(c.Read(self.number, data))
+        """Report received bytes."""
+        self.server.handle(service_calls.Read(self.number, data))
 
-    def say(self, line: str) -> None:
-        """The one answer; this side ends its sending, and the caller closes, or is let go at its linger."""
+    def reply(self, line: str) -> None:
+        """Write the one answer and end the sending side. The caller closes, or is disconnected later."""
         self.discarding = True
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(line.encode("ascii", "replace") + b"\n")
             self.transport.write_eof()
 
     def eof_received(self) -> bool:
+        """Close the transport when the caller ends its side."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The one place where a caller's connection is given back."""
+        """Release the connection; the only place where this happens."""
         self.sock = None
-        self.mgmt.forget(self)
+        self.server.remove(self)
 
-    def never_opened(self) -> None:
-        self.mgmt.forget(self)
+    def open_failed(self) -> None:
+        """Forget the caller, whose socket got no transport."""
+        self.server.remove(self)
 
 
-Carry = Callable[[c.Call], tuple[bool, str]]
+CallHandler = Callable[[service_calls.Call], tuple[bool, str]]
 
 
-class Mgmt:
-    """The listener of the second address and its callers."""
+class ManagementServer:
+    """The listener of the management port and its callers."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, sockets: Sockets, sock: socket.socket, carry: Carry
+        self, loop: asyncio.AbstractEventLoop, sockets: Sockets, sock: socket.socket, handle_call: CallHandler
     ) -> None:
-        self.loop, self.sockets, self.carry = loop, sockets, carry
-        self.calls = c.Calls(sockets.for_calls)
+        self.loop, self.sockets, self.handle_call = loop, sockets, handle_call
+        self.calls = service_calls.Calls(sockets.max_callers)
         self.callers: dict[int, Caller] = {}
         self._numbers = itertools.count()
         self._timer: asyncio.TimerHandle | None = None
-        self._resume: asyncio.TimerHandle | None = None
+        self._resume_timer: asyncio.TimerHandle | None = None
         self.sock = sock
-        self.where: tuple[str, int] = self.sock.getsockname()
+        self.address: tuple[str, int] = self.sock.getsockname()
         loop.add_reader(self.sock.fileno(), self._accept)
 
     def _accept(self) -> None:
@@ -77,56 +80,57 @@
                 return
             except (
                 OSError
-            ) as error:  # out of descriptors: look again in a moment, the callers' deadlines free some
+            ) as error:  # out of descriptors: retry after a pause, as callers' deadlines free some
                 log.warning("mgmt.accept-failed", error=str(error))
                 self.loop.remove_reader(self.sock.fileno())
-                self._resume = self.loop.call_later(ACCEPT_PAUSE, self._accept_again)
+                self._resume_timer = self.loop.call_later(ACCEPT_PAUSE_S, self._resume_accepting)
                 return
             sock.setblocking(False)
             caller = Caller(self, next(self._numbers))
             self.callers[caller.number] = caller
-            self.sockets.adopt(sock, caller, side="mgmt")
+            self.sockets.open_transport(sock, caller, side="mgmt")
 
-    def _accept_again(self) -> None:
-        self._resume = None
+    def _resume_accepting(self) -> None:
+        self._resume_timer = None
         self.loop.add_reader(self.sock.fileno(), self._accept)
         self._accept()
 
-    def handle(self, event: c.Event) -> None:
-        """Feed the core and do what it says."""
+    def handle(self, event: service_calls.Event) -> None:
+        """Pass an event to `Calls` and carry out the resulting actions."""
         for action in self.calls.handle(event, self.loop.time()):
             caller = self.callers.get(action.caller)
             if caller is None:
                 continue
-            if isinstance(action, c.Drop):
+            if isinstance(action, service_calls.Drop):
                 self.callers.pop(action.caller, None)
                 caller.abort()
-            elif isinstance(action, c.Refuse):
-                caller.say(f"NAK {action.reason}")
+            elif isinstance(action, service_calls.Refuse):
+                caller.reply(f"NAK {action.reason}")
             else:
-                ok, text = self.carry(action.call)
-                caller.say(f"{'ACK' if ok else 'NAK'} {text}")
-        self._arm()
+                accepted, text = self.handle_call(action.call)
+                caller.reply(f"{'ACK' if accepted else 'NAK'} {text}")
+        self._set_timer()
 
-    def _arm(self) -> None:
-        due = self.calls.next_due()
-        if self._timer is not None and (due is None or self._timer.when() > due):
+    def _set_timer(self) -> None:
+        deadline = self.calls.next_deadline()
+        if self._timer is not None and (deadline is None or self._timer.when() > deadline):
             self._timer.cancel()
             self._timer = None
-        if due is not None and self._timer is None:
-            self._timer = self.loop.call_at(due, self._tick)
+        if deadline is not None and self._timer is None:
+            self._timer = self.loop.call_at(deadline, self._tick)
 
     def _tick(self) -> None:
         self._timer = None
-        self.handle(c.Tick())
+        self.handle(service_calls.Tick())
 
-    def forget(self, caller: Caller) -> None:
+    def remove(self, caller: Caller) -> None:
+        """Forget a caller whose connection is closed."""
         if self.callers.pop(caller.number, None) is not None:
-            self.handle(c.Gone(caller.number))
+            self.handle(service_calls.Closed(caller.number))
 
     def close(self) -> None:
-        """Give everything back."""
-        for handle in (self._timer, self._resume):
+        """Cancel the timers, stop listening and close every connection."""
+        for handle in (self._timer, self._resume_timer):
             if handle is not None:
                 handle.cancel()
         self.loop.remove_reader(self.sock.fileno())
--- a/wickgw/net/pool_server.py
+++ b/wickgw/net/pool_server.py
@@ -1,7 +1,8 @@
-"""One pool of label workers: its decision module, connections and counters, and its part of the list.
+"""One pool of label workers: its decision module, connections, counters and part of the worker list.
 
-A long list is told over several turns of the loop, what left or drains first, and in the order in which lists
-came. It must never choose a worker, nor hold news back for anything but its turn.
+A long update is applied in parts over several turns of the loop, removed and draining workers first. Updates
+are applied in the order of their arrival, and are delayed only by this division. Workers are chosen by the
+decision module.
 """
 
 import asyncio
@@ -25,110 +26,116 @@
     from wickgw.subsetting.subset import WorkerSubset
 
 
-ENTRIES_A_TURN = 128  # of a long list, told in one turn of the loop: one or two milliseconds
-URGENCY = (i.Health.GONE, i.Health.DRAINING, i.Health.READY)  # what may get nothing new is told first
+ENTRIES_PER_TURN = 128  # list entries applied in one turn of the loop, which takes one or two milliseconds
+HEALTH_ORDER = (i.Health.GONE, i.Health.DRAINING, i.Health.READY)  # workers that may get no new jobs first
 
 
 class PoolServer:
-    """One pool: who decides for it, and what it holds."""
+    """One pool: its decision module, its connections and the workers that it contains."""
 
     def __init__(
         self,
         name: str,
-        has: Callable[[Target], bool],
+        contains: Callable[[Target], bool],
         config: Config,
         loop: asyncio.AbstractEventLoop,
         clock: Clock,
         sockets: Sockets,
         subsetting: "SubsettingSettings | None" = None,
     ) -> None:
-        self.name, self.has = name, has
+        self.name, self.contains = name, contains
         settings = config.settings
         self.subset: SubsetDriver | None = None
-        core = subset_of(config, subsetting)
-        if core is not None:
+        subset = create_subset(config, subsetting)
+        if subset is not None:
             from wickgw.net import subset_driver
             from wickgw.subsetting import sizing
 
-            settings = sizing.settings_for_subset(settings, core.size.dispatchers_per_worker)
-            self.subset = subset_driver.SubsetDriver(core, loop, clock, self._show)
+            settings = sizing.settings_for_subset(settings, subset.size.dispatchers_per_worker)
+            self.subset = subset_driver.SubsetDriver(subset, loop, clock, self._apply)
         self.connections = WorkerConnections(
             loop, sockets, settings.connect_timeout, settings.idle_close, settings.free_slots
         )
-        balancer = Balancer(settings, config.seed + zlib.crc32(name.encode()))  # 0 for the one without a name
+        balancer = Balancer(settings, config.seed + zlib.crc32(name.encode()))  # crc32 of "" is 0
         self.dispatcher = self.connections.dispatcher = Dispatcher(balancer, loop, clock, self.connections)
         if self.subset is not None:
             self.dispatcher.on_attempt_ended = self.subset.attempt_ended
         self.states = WorkerStates()
-        self._untold: deque[list[Target]] = deque()  # parts of long lists
-        self._turn: asyncio.Handle | None = None  # in which the next of them is told
+        self._queued_parts: deque[list[Target]] = deque()  # parts of long updates
+        self._next_part: asyncio.Handle | None = None  # applies the next of them
 
     def begin(self, known: list[Target]) -> None:
-        """Its life begins, with the list as it was held last."""
-        mine = [target for target in known if self.has(target)]
+        """Start the decision module with the last known worker list."""
+        own_targets = [target for target in known if self.contains(target)]
         if self.subset is not None:
             self.dispatcher.begin(())
-            self.subset.on_update(i.ListKind.REPLACE, mine)
+            self.subset.on_update(i.ListKind.REPLACE, own_targets)
             return
-        if len(mine) > ENTRIES_A_TURN:
+        if len(own_targets) > ENTRIES_PER_TURN:
             self.dispatcher.begin(())
-            self._tell(i.ListKind.UPDATE, mine)
+            self._apply_or_queue(i.ListKind.UPDATE, own_targets)
             return
-        for target in mine:
-            self.connections.place(target.entry.worker, target.endpoint, target.entry.since)
+        for target in own_targets:
+            self.connections.set_endpoint(target.entry.worker, target.endpoint, target.entry.since)
             self.states.update(target.entry.worker, target.entry.health)
-        self.dispatcher.begin(tuple(target.entry for target in mine))
+        self.dispatcher.begin(tuple(target.entry for target in own_targets))
 
     def on_update(self, kind: i.ListKind, targets: list[Target]) -> None:
-        """News of the list."""
+        """Handle an update of the worker list."""
         if self.subset is None:
-            self._tell(kind, targets)
+            self._apply_or_queue(kind, targets)
         else:
-            mine = [t for t in targets if self.has(t) or self.subset.knows(t.entry.worker)]
-            self.subset.on_update(kind, [t if self.has(t) else _gone(t) for t in mine])
-
-    def _tell(self, kind: i.ListKind, targets: list[Target]) -> None:
-        """Tell a short list now; of a long one, and of what comes after it, one part a turn of the loop."""
+            own_targets = [
+                target
+                for target in targets
+                if self.contains(target) or self.subset.knows(target.entry.worker)
+            ]
+            self.subset.on_update(
+                kind, [target if self.contains(target) else _as_gone(target) for target in own_targets]
+            )
+
+    def _apply_or_queue(self, kind: i.ListKind, targets: list[Target]) -> None:
+        """Apply a short update at once; queue the parts of a long one, and any update behind queued parts."""
         if kind is i.ListKind.REPLACE:
-            self._untold.clear()  # the whole list has what they said
-        if len(targets) <= ENTRIES_A_TURN and not self._untold:
-            self._show(kind, targets)
+            self._queued_parts.clear()  # superseded by the whole list
+        if len(targets) <= ENTRIES_PER_TURN and not self._queued_parts:
+            self._apply(kind, targets)
             return
-        latest = {target.entry.worker: target for target in targets}
-        left = self.states.missing(set(latest)) if kind is i.ListKind.REPLACE else ()
-        by_health: dict[i.Health, list[Target]] = {health: [] for health in URGENCY}
-        for target in latest.values():
+        latest_targets = {target.entry.worker: target for target in targets}
+        removed = self.states.missing(set(latest_targets)) if kind is i.ListKind.REPLACE else ()
+        by_health: dict[i.Health, list[Target]] = {health: [] for health in HEALTH_ORDER}
+        for target in latest_targets.values():
             by_health[target.entry.health].append(target)
-        ordered = [Target(i.Entry(worker, i.Health.GONE), endpoint="") for worker in left]
-        for health in URGENCY:
+        ordered = [Target(i.Entry(worker, i.Health.GONE), endpoint="") for worker in removed]
+        for health in HEALTH_ORDER:
             ordered += by_health[health]
-        for first in range(0, len(ordered), ENTRIES_A_TURN):
-            self._untold.append(ordered[first : first + ENTRIES_A_TURN])
-        if self._turn is None:
-            self._turn = self.dispatcher.loop.call_soon(self._tell_next)
-
-    def _tell_next(self) -> None:
-        self._turn = None
-        if self._untold:
-            self._show(i.ListKind.UPDATE, self._untold.popleft())
-        if self._untold:
-            self._turn = self.dispatcher.loop.call_soon(self._tell_next)
-
-    def _show(self, kind: i.ListKind, targets: list[Target]) -> None:
-        """What the pool serves by; connections to what left go last."""
-        whole = kind is i.ListKind.REPLACE
+        for first in range(0, len(ordered), ENTRIES_PER_TURN):
+            self._queued_parts.append(ordered[first : first + ENTRIES_PER_TURN])
+        if self._next_part is None:
+            self._next_part = self.dispatcher.loop.call_soon(self._apply_next_part)
+
+    def _apply_next_part(self) -> None:
+        self._next_part = None
+        if self._queued_parts:
+            self._apply(i.ListKind.UPDATE, self._queued_parts.popleft())
+        if self._queued_parts:
+            self._next_part = self.dispatcher.loop.call_soon(self._apply_next_part)
+
+    def _apply(self, kind: i.ListKind, targets: list[Target]) -> None:
+        """Apply an update. Connections to removed workers close last."""
+        is_whole = kind is i.ListKind.REPLACE
         entries = [entry for target in targets if (entry := self._entry_of(target)) is not None]
-        if whole:
+        if is_whole:
             entries = [entry for entry in entries if entry.health is not i.Health.GONE]
             gone = self.states.missing({entry.worker for entry in entries})
         else:
             gone = {entry.worker for entry in entries if entry.health is i.Health.GONE}
         self._set_states(entries, gone)
-        if entries or whole:
-            self.dispatcher.listed(kind, tuple(entries))
+        if entries or is_whole:
+            self.dispatcher.update_list(kind, tuple(entries))
         for entry in entries:
             if entry.health is i.Health.DRAINING:
-                self.connections.withdraw_from(entry.worker)
+                self.connections.cancel_unsent_to(entry.worker)
         for worker in gone:
             if worker not in self.states:
                 self.connections.remove(worker)
@@ -140,49 +147,54 @@
             self.states.update(entry.worker, entry.health)
 
     def _entry_of(self, target: Target) -> i.Entry | None:
-        """What the decision module is told of a target; its address is noted first, since the module may send
-        at once. None if the target neither is nor was this pool's."""
-        entry, mine = target.entry, self.has(target)
-        if mine and entry.health is not i.Health.GONE:
-            self.connections.place(entry.worker, target.endpoint, entry.since)
+        """Return the entry for the decision module, or None if the target is not and was not in this pool.
+
+        The endpoint is set first, since the decision module may send to the worker at once.
+        """
+        entry, is_own = target.entry, self.contains(target)
+        if is_own and entry.health is not i.Health.GONE:
+            self.connections.set_endpoint(entry.worker, target.endpoint, entry.since)
             return entry
-        if mine or entry.worker in self.states:
+        if is_own or entry.worker in self.states:
             return i.Entry(entry.worker, i.Health.GONE, entry.zone, entry.cell, entry.since)
         return None
 
     @property
-    def counts(self) -> tuple[int, int]:
-        """Its ready and its draining workers."""
+    def worker_counts(self) -> tuple[int, int]:
+        """The numbers of ready and of draining workers."""
         return self.states.ready, self.states.draining
 
     def report(self) -> dict[str, object]:
-        """Counters, and what it holds now."""
-        ready, draining = self.counts
-        held = {"owed": self.dispatcher.owed, "ready": ready, "draining": draining}
-        held |= {"members": len(self.dispatcher.balancer.order)}
-        held |= {
+        """Return the counters and the current values of this pool."""
+        ready, draining = self.worker_counts
+        current = {"owed": self.dispatcher.unanswered, "ready": ready, "draining": draining}
+        current |= {"members": len(self.dispatcher.balancer.order)}
+        current |= {
             "tries_out": len(self.connections.attempts),
             "peer_connections": len(self.connections.connections),
         }
-        held |= self.subset.counts if self.subset is not None else {}
-        return {"counters": dict(self.dispatcher.counters), "now": held}
+        current |= self.subset.counts if self.subset is not None else {}
+        return {"counters": dict(self.dispatcher.counters), "now": current}
 
     def close(self) -> None:
-        """Give everything back."""
-        if self._turn is not None:
-            self._turn.cancel()
-        self._untold.clear()
+        """Cancel the queued updates and close the subset, the dispatcher and the connections."""
+        if self._next_part is not None:
+            self._next_part.cancel()
+        self._queued_parts.clear()
         if self.subset is not None:
             self.subset.close()
         self.dispatcher.close()
         self.connections.close()
 
 
-def subset_of(config: Config, subsetting: "SubsettingSettings | None") -> "WorkerSubset[Target] | None":
-    """The subset that the operator's file asks for; None where every worker is seen. Raises ConfigError."""
+def create_subset(config: Config, subsetting: "SubsettingSettings | None") -> "WorkerSubset[Target] | None":
+    """Return the subset that the operator's file configures, or None if every worker is used.
+
+    Raises ConfigError if this dispatcher is missing from the list of dispatchers.
+    """
     if subsetting is None or not subsetting.enabled:
         return None
-    from wickgw.subsetting.ranking import Dispatcher as Instance
+    from wickgw.subsetting.ranking import Dispatcher as FleetDispatcher
     from wickgw.subsetting.sizing import subset_size
     from wickgw.subsetting.subset import WorkerSubset
 
@@ -191,13 +203,17 @@
             f"[subsetting] dispatchers: {config.name!r}, this dispatcher's name, is missing;"
             f" NAME=ZONE for each of all dispatchers is allowed"
         )
-    fleet = tuple(Instance(name, zone) for name, zone in subsetting.dispatchers.items())
-    zones, whole = len(set(subsetting.dispatchers.values())), subsetting.largest_whole_view
-    size = subset_size(len(fleet), subsetting.workers, zones, whole)
+    fleet = tuple(FleetDispatcher(name, zone) for name, zone in subsetting.dispatchers.items())
+    zones, largest_whole_view = len(set(subsetting.dispatchers.values())), subsetting.largest_whole_view
+    size = subset_size(len(fleet), subsetting.workers, zones, largest_whole_view)
     return WorkerSubset(fleet, config.name, size, config.settings) if size is not None else None
 
 
-def _gone(target: Target) -> Target:
-    """A worker that is no pool member any more, as one that is gone."""
-    e = target.entry
-    return target._replace(entry=i.Entry(e.worker, i.Health.GONE, e.zone, e.cell, e.since, e.kind))
+def _as_gone(target: Target) -> Target:
+    """Return a target that left the pool with the state GONE."""
+    previous = target.entry
+    return target._replace(
+        entry=i.Entry(
+            previous.worker, i.Health.GONE, previous.zone, previous.cell, previous.since, previous.kind
+        )
+    )
--- a/wickgw/net/pools.py
+++ b/wickgw/net/pools.py
@@ -1,9 +1,10 @@
-"""Pools: each has a decision module of its own, a list of workers, connections, counters; routes choose one.
+"""Worker pools and the routing of requests to them.
 
-Without routes there is one pool with all workers, and nothing of routing is imported. Owns the pools, the
-list as it is held now, and the pools that a reload has retired: they go on, under the table that their
-requests were taken under, until the last of those has ended. It must never choose a worker, nor tell a pool
-of news later than it came.
+Each pool has its own decision module, worker list, connections and counters; the routing table chooses a pool
+for each request. Without routes there is one pool with all workers, and no routing code is imported. This
+module owns the pools, the current worker list and the pools that a reload has retired. A retired pool serves
+under its old table until its last request has ended. Workers are chosen by the decision module of a pool.
+Every update of the list goes to all pools at once.
 """
 
 import asyncio
@@ -20,37 +21,37 @@
 from wickgw.net.pool_server import PoolServer
 from wickgw.net.sockets import Sockets
 from wickgw.net.worker_list import Target
-from wickgw.observe import logger
+from wickgw.observe import get_logger
 
 if TYPE_CHECKING:
     from wickgw.config.schema import SubsettingSettings
     from wickgw.routing.match import Request
     from wickgw.routing.table import Pool, Route, Table, Worker
 
-log = logger("wickgw.routing")
-RETIRING = 0.5  # seconds between looks at whether a retired pool has ended its last request
+log = get_logger("wickgw.routing")
+RETIRED_CHECK_INTERVAL_S = 0.5  # between checks whether a retired pool has ended its last request
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
-    """Where a request goes, and what its route makes less of."""
+class PoolChoice:
+    """The pool of a request and the limits that its route sets."""
 
     pool: PoolServer
-    job_class: str  # the first part of the path; of its normal form, where there are routes
-    attempts: int | None = None
-    time_limit: float = float("inf")
+    job_class: str  # the first segment of the path, in normal form where there are routes
+    max_attempts: int | None = None
+    time_limit: float = float("inf")  # seconds
 
 
 class NoRouteError(Exception):
-    """No route takes it; or it has no normal form (`malformed`)."""
+    """No route matches a request, or its target has no normal form (`malformed`)."""
 
-    def __init__(self, why: str, malformed: bool = False) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, malformed: bool = False) -> None:
+        super().__init__(reason)
         self.malformed = malformed
 
 
 class Pools:
-    """All pools of a process, and the table that chooses among them, if there is one."""
+    """All pools of a process, and the routing table that chooses among them, if there is one."""
 
     def __init__(
         self,
@@ -65,12 +66,12 @@
         self.subsetting = subsetting
         self.config, self.loop, self.clock, self.sockets = config, loop, clock, sockets
         self.table, self.zone_header = table, zone_header.lower()
-        self.list: dict[str, Target] = {}  # kept where there are routes
+        self.workers: dict[str, Target] = {}  # the current list, kept only where there are routes
         self.servers: dict[str, PoolServer] = {}
         self.retired: list[PoolServer] = []
-        self.ties: set[tuple[str, ...]] = set()
-        self._stop_by: float | None = None
-        self._sweeper: asyncio.TimerHandle | None = None
+        self.reported_ties: set[tuple[str, ...]] = set()
+        self._stop_deadline: float | None = None
+        self._close_timer: asyncio.TimerHandle | None = None
         settings = config.settings
         self.zone = settings.zones[settings.zone] if settings.zone < len(settings.zones) else ""
         if table is None:
@@ -79,69 +80,69 @@
         else:
             self.counters = Counter[str]()
             for pool in table.pools.values():
-                self.servers[pool.name] = self._serve(pool)
+                self.servers[pool.name] = self._create_server(pool)
 
-    def _serve(self, pool: "Pool") -> PoolServer:
-        def has(target: Target) -> bool:
-            return pool.includes(worker_of(target))
+    def _create_server(self, pool: "Pool") -> PoolServer:
+        def contains(target: Target) -> bool:
+            return pool.includes(routing_worker(target))
 
-        shared = self.config, self.loop, self.clock, self.sockets
-        return PoolServer(pool.name, has, *shared, self.subsetting)
+        common_arguments = self.config, self.loop, self.clock, self.sockets
+        return PoolServer(pool.name, contains, *common_arguments, self.subsetting)
 
     @property
-    def all(self) -> list[PoolServer]:
-        """Those of the table, and those retired."""
+    def all_servers(self) -> list[PoolServer]:
+        """The pools of the current table, and the retired ones."""
         return [*self.servers.values(), *self.retired]
 
-    # The list.
+    # The worker list.
 
     def begin(self, known: list[Target]) -> None:
-        """The life of every pool begins."""
-        self._keep(i.ListKind.REPLACE, known)
-        for server in self.all:
+        """Start every pool with the last known worker list."""
+        self._update_workers(i.ListKind.REPLACE, known)
+        for server in self.all_servers:
             server.begin(known)
 
     def on_update(self, kind: i.ListKind, targets: list[Target]) -> None:
-        """News of the list, to every pool at once."""
-        self._keep(kind, targets)
-        for server in self.all:
+        """Pass an update of the worker list to every pool."""
+        self._update_workers(kind, targets)
+        for server in self.all_servers:
             server.on_update(kind, targets)
 
-    def _keep(self, kind: i.ListKind, targets: list[Target]) -> None:
-        """Only another table may ask for the list again."""
+    def _update_workers(self, kind: i.ListKind, targets: list[Target]) -> None:
+        """Keep the list for the pools of a later table; needed only where there are routes."""
         if self.table is None:
             return
         if kind is i.ListKind.REPLACE:
-            self.list = {}
+            self.workers = {}
         for target in targets:
             if target.entry.health is i.Health.GONE:
-                self.list.pop(target.entry.worker, None)
+                self.workers.pop(target.entry.worker, None)
             else:
-                self.list[target.entry.worker] = target
+                self.workers[target.entry.worker] = target
 
     # Requests.
 
-    def choose(self, request: http.Request) -> Choice:
-        """The pool of a request. Raises NoRouteError."""
+    def choose(self, request: http.Request) -> PoolChoice:
+        """Choose the pool of a request. Raises NoRouteError."""
         if self.table is None:
-            return Choice(self.servers[""], unquote(request.path[1:].partition("/")[0]))
-        asked = self.normal(request)
-        taken = self.table.lookup(asked)
-        route = taken.route
+            return PoolChoice(self.servers[""], unquote(request.path[1:].partition("/")[0]))
+        routing_request = self.normalize(request)
+        match = self.table.lookup(routing_request)
+        route = match.route
         if route is None:
             self.counters["routes.none"] += 1
             raise NoRouteError("no route takes this")
-        if taken.tied:
-            self._tied(taken.tied, asked)
-        name, out = self.table.pool_for(route, _Counts(self.servers))
+        if match.tied:
+            self._report_tie(match.tied, routing_request)
+        name, is_out = self.table.pool_for(route, _WorkerCounts(self.servers))
         self.counters[f"routes.{route.name}"] += 1
-        if out:
+        if is_out:
             self.counters["routes.out"] += 1
         limit = float("inf") if route.time_limit_s is None else route.time_limit_s
-        return Choice(self.servers[name], unquote(asked.job_class), route.attempts, limit)
+        return PoolChoice(self.servers[name], unquote(routing_request.job_class), route.attempts, limit)
 
-    def normal(self, request: http.Request) -> "Request":
-        """A request as routing sees it. Raises NoRouteError if it has no normal form."""
+    def normalize(self, request: http.Request) -> "Request":
+        """Convert a request to the form that routes match. Raises NoRouteError if it has no normal form."""
         from wickgw.routing import normal
         from wickgw.routing.match import Request
 
@@ -153,83 +154,89 @@
             raise NoRouteError(str(error), malformed=True) from error
         return Request(host, path, request.method, zone if zone in known else self.zone, request.headers)
 
-    def _tied(self, routes: "tuple[Route, ...]", asked: "Request") -> None:
-        """None is the most specific: the first in the file serves. `wickgw route check` says so before."""
+    def _report_tie(self, routes: "tuple[Route, ...]", routing_request: "Request") -> None:
+        """Log routes of equal precedence, each set once. The first in the file serves.
+
+        `wickgw route check` reports such ties before a table is used.
+        """
         self.counters["routes.tied"] += 1
         names = tuple(route.name for route in routes)
-        if names not in self.ties and len(self.ties) < 100:
-            self.ties.add(names)
-            log.warning("route.tied", routes=" ".join(names), request=asked.describe())
+        if names not in self.reported_ties and len(self.reported_ties) < 100:
+            self.reported_ties.add(names)
+            log.warning("route.tied", routes=" ".join(names), request=routing_request.describe())
 
-    def take(self, choice: Choice, pending: PendingRequest) -> bool:
-        """A request has come; False if its id is still in use, in whatever pool."""
-        if self.table and any(pending.id in s.dispatcher.pending for s in self.all):
+    def submit(self, choice: PoolChoice, pending: PendingRequest) -> bool:
+        """Hand a request to its pool. Returns False if its id is in use in any pool."""
+        if self.table and any(pending.id in server.dispatcher.pending for server in self.all_servers):
             return False
-        return choice.pool.dispatcher.take(pending)
+        return choice.pool.dispatcher.submit(pending)
 
     # Reload.
 
-    def replace(self, table: "Table") -> None:
-        """Another table, for requests from now on. A pool that is chosen alike keeps what it has learned;
-        any other is a new one, and the old one retires with the requests that it has."""
+    def replace_table(self, table: "Table") -> None:
+        """Use another table from now on.
+
+        A pool with an unchanged definition keeps its learned state. Any other is created anew, and its
+        predecessor retires with its open requests.
+        """
         assert self.table is not None
-        old, self.table = self.table, table
+        old_table, self.table = self.table, table
         servers = {}
         for pool in table.pools.values():
-            if old.pools.get(pool.name) == pool:
+            if old_table.pools.get(pool.name) == pool:
                 servers[pool.name] = self.servers.pop(pool.name)
                 continue
-            server = servers[pool.name] = self._serve(pool)
-            server.begin(list(self.list.values()))
-            if self._stop_by is not None:
-                server.dispatcher.stop(self._stop_by - self.clock.now())
+            server = servers[pool.name] = self._create_server(pool)
+            server.begin(list(self.workers.values()))
+            if self._stop_deadline is not None:
+                server.dispatcher.stop(self._stop_deadline - self.clock.now())
         for server in self.servers.values():
-            log.info("pool.retired", pool=server.name, owed=server.dispatcher.owed)
+            log.info("pool.retired", pool=server.name, owed=server.dispatcher.unanswered)
         self.retired += self.servers.values()
         self.servers = servers
-        self.ties.clear()
+        self.reported_ties.clear()
         log.info("routes.replaced", routes=len(table.routes), pools=len(table.pools))
-        self._sweep()
-
-    def _sweep(self) -> None:
-        """Retired pools end with their last request."""
-        if self._sweeper is not None:
-            self._sweeper.cancel()
-            self._sweeper = None
-        for server in [s for s in self.retired if not s.dispatcher.pending]:
+        self._close_retired()
+
+    def _close_retired(self) -> None:
+        """Close the retired pools whose last request has ended."""
+        if self._close_timer is not None:
+            self._close_timer.cancel()
+            self._close_timer = None
+        for server in [candidate for candidate in self.retired if not candidate.dispatcher.pending]:
             self.counters["pools.ended"] += 1
             server.close()
             self.retired.remove(server)
         if self.retired:
-            self._sweeper = self.loop.call_later(RETIRING, self._sweep)
+            self._close_timer = self.loop.call_later(RETIRED_CHECK_INTERVAL_S, self._close_retired)
 
-    # What a node asks of all together.
+    # All pools together.
 
     @property
-    def owed(self) -> int:
-        """Requests without their final answer."""
-        return sum(server.dispatcher.owed for server in self.all)
+    def unanswered(self) -> int:
+        """The number of requests without a final answer."""
+        return sum(server.dispatcher.unanswered for server in self.all_servers)
 
     def stop(self, within: float) -> None:
-        """The process ends in so many seconds."""
-        self._stop_by = self.clock.now() + within
-        for server in self.all:
+        """Prepare for the end of the process in `within` seconds."""
+        self._stop_deadline = self.clock.now() + within
+        for server in self.all_servers:
             server.dispatcher.stop(within)
 
     def report(self) -> dict[str, object]:
-        """What is held, over all pools; and each pool's own, where there are routes."""
-        every = self.all
-        longest, on = max(s.dispatcher.longest for s in every)
+        """Return the current values over all pools and, where there are routes, the report of each pool."""
+        servers = self.all_servers
+        longest_step_s, on = max(each.dispatcher.longest_step for each in servers)
         now: dict[str, object] = {
-            "owed": self.owed,
-            "tries_out": sum(len(s.connections.attempts) for s in every),
-            "peer_connections": sum(len(s.connections.connections) for s in every),
-            "peers": len({worker for s in every for worker in s.connections.endpoints}),
-            "members": sum(len(s.dispatcher.balancer.order) for s in every),
+            "owed": self.unanswered,
+            "tries_out": sum(len(each.connections.attempts) for each in servers),
+            "peer_connections": sum(len(each.connections.connections) for each in servers),
+            "peers": len({worker for each in servers for worker in each.connections.endpoints}),
+            "members": sum(len(each.dispatcher.balancer.order) for each in servers),
             "peak_memory_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024 / 1e6, 1),
-            "peer_connections_opened": sum(s.connections.opened for s in every),
-            "max_stall_ms": round(max(s.dispatcher.max_stall for s in every) * 1000, 1),
-            "longest_step_ms": round(longest * 1000, 1),
+            "peer_connections_opened": sum(each.connections.opened_count for each in servers),
+            "max_stall_ms": round(max(each.dispatcher.max_stall_s for each in servers) * 1000, 1),
+            "longest_step_ms": round(longest_step_s * 1000, 1),
             "longest_step_on": on,
         }
         if self.table is None:
@@ -238,27 +245,27 @@
         return {"now": now | {"pools_retired": len(self.retired)}, "pools": pools}
 
     def close(self) -> None:
-        """Give everything back."""
-        if self._sweeper is not None:
-            self._sweeper.cancel()
-        for server in self.all:
+        """Close every pool."""
+        if self._close_timer is not None:
+            self._close_timer.cancel()
+        for server in self.all_servers:
             server.close()
 
 
-class _Counts(dict[str, tuple[int, int]]):
-    """Workers of each pool by state, counted when a pool is looked at and not before."""
+class _WorkerCounts(dict[str, tuple[int, int]]):
+    """Numbers of ready and draining workers by pool, looked up on demand."""
 
     def __init__(self, servers: dict[str, PoolServer]) -> None:
         super().__init__()
         self.servers = servers
 
     def get(self, name: str, default: object = None) -> tuple[int, int]:
-        """Ready and draining."""
-        return self.servers[name].counts
+        """Return the counts of ready and draining workers."""
+        return self.servers[name].worker_counts
 
 
-def worker_of(target: Target) -> "Worker":
-    """A target as a pool's choice sees it."""
+def routing_worker(target: Target) -> "Worker":
+    """Convert a target to the form that pool definitions match."""
     from wickgw.routing.table import Worker
 
     return Worker(target.entry.worker, target.zone, target.model, target.entry.cell)
--- a/wickgw/net/sockets.py
+++ b/wickgw/net/sockets.py
@@ -1,9 +1,8 @@
-"""Descriptors and transports: what client connections, worker connections and discovery have in common.
+"""Connection limits and transports, shared by client connections, worker connections and discovery.
 
-Owns the count of descriptors each side may hold, the buffer that all reads go through, and the few tasks
-that turn connected sockets into asyncio transports (asyncio offers that only as a coroutine; tasks that live
-as long as the process mean that no connection and no request starts one). It must never read a message or
-know what is in it.
+Owns the limits on connections, the buffer for all reads, and a few tasks that turn connected sockets into
+asyncio transports. asyncio does that only in a coroutine; long-lived tasks avoid a new task for each
+connection or request. This module does not parse any message.
 """
 
 import asyncio
@@ -12,58 +11,56 @@
 import socket
 from typing import Any, Protocol, cast
 
-from wickgw.observe import logger
-
-log = logger("wickgw")
-RESERVE = 24  # descriptors for the listener, discovery, the loop itself, logs and imports
-BASE_MB = 36  # what the process holds without a connection, 28 as measured, and some
-LISTED_WORKER_BYTES = 2000  # what a worker of the list costs: 1.7 KB measured from 200 to 3,200 workers
-OPENERS = 4  # tasks for each side: opening one takes some turns of the loop, and others wait behind it
-# Clients, workers and discovery, and operators' calls: a flood on one side must not delay another.
-SIDES = {"clients": OPENERS, "workers": OPENERS, "mgmt": 1}
-FOR_CLIENTS = 0.6  # of the other descriptors: usual clients hold a third of all, the rest is room for others
+from wickgw.observe import get_logger
+
+log = get_logger("wickgw")
+RESERVED_DESCRIPTORS = 24  # for the listener, discovery, the event loop, logs and imports
+BASE_MEMORY_MB = 36  # of the process without connections: 28 MB and a margin
+LISTED_WORKER_BYTES = 2000  # per worker of the list: 1.7 KB with 200 to 3,200 workers, and a margin
+OPENER_TASKS = 4  # per side: opening a transport takes several turns of the loop, and others queue up
+# Tasks for clients, for workers and discovery, and for the management port: a flood on one side must not
+# delay another.
+OPENER_TASKS_BY_SIDE = {"clients": OPENER_TASKS, "workers": OPENER_TASKS, "mgmt": 1}
+CLIENT_SHARE = 0.6  # of the unreserved descriptors; typical clients use a third of all, the rest is headroom
 # A read is finished before the loop turns to the next one, so all connections can share one buffer.
-_SCRATCH = memoryview(bytearray(32 * 1024))
-# What a connection costs, as budgeted: its objects (about 3 KB for a client connection, measured) and a
-# share of the buffers that it holds at their bounds (a head, a body and an answer of a client, 144 KB; a
-# request on its way out and a response's line, 148 KB, for a worker; the buffer that all reads go through is
-# shared). Most connections hold nothing between messages, and no more than one in six holds its bounds at
-# once. Budgeting every one at its bounds left 9 worker connections of 40 MB, so that requests waited 1.8 s
-# for a first attempt.
-_CLIENT = 3 * 1024 + (16 * 1024 + 64 * 1024 + 64 * 1024) // 6
-_WORKER = 6 * 1024 + (80 * 1024 + 68 * 1024) // 6
+_READ_BUFFER = memoryview(bytearray(32 * 1024))
+# Budgeted memory of a connection: its objects (about 3 KB for a client connection) and a share of its full
+# buffers (client: a head, a body and an answer, 144 KB; worker: an outgoing request and a response line, 148
+# KB; the read buffer is shared). Most connections hold no data between messages, and at most one in six has
+# full buffers at once. A budget of full buffers for every connection left 9 worker connections in 40 MB, and
+# requests waited 1.8 s for a first attempt.
+_CLIENT_CONNECTION_BYTES = 3 * 1024 + (16 * 1024 + 64 * 1024 + 64 * 1024) // 6
+_WORKER_CONNECTION_BYTES = 6 * 1024 + (80 * 1024 + 68 * 1024) // 6
 
 
 class Connection(asyncio.BufferedProtocol):
-    """A connection as an object with callbacks; the transport it holds is given back in `connection_lost`."""
+    """Base class of connections. The transport is released in `connection_lost`."""
 
     transport: asyncio.Transport | None = None
-    sock: socket.socket | None = (
-        None  # the same descriptor, to look at what is unread; the transport closes it
-    )
-    discarding = False  # what comes is thrown away where it lies
+    sock: socket.socket | None = None  # the transport's descriptor, for a look at unread data
+    discarding = False  # received data is dropped without a copy
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
+        """Store the transport and report that the connection is open."""
         self.transport = cast(asyncio.Transport, transport)
         self.opened()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Where the loop puts what it reads."""
-        return _SCRATCH
+        """Return the shared read buffer."""
+        return _READ_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Bytes are in. An error here that nobody foresaw ends this connection and nothing else."""
+        """Pass on received bytes. An unexpected error closes only this connection."""
         if self.discarding:
             return
         try:
-            self.received(bytes(_SCRATCH[:nbytes]))
+            self.received(bytes(_READ_BUFFER[:nbytes]))
         except Exception:
             log.exception("connection.failed")
             self.abort()
 
-    def _next(self) -> bytes | None:
-        """What lies unread in the kernel: a first byte, None for nothing, or b"" for the other side's end."""
+    def _peek(self) -> bytes | None:
+        """Return the first unread byte in the kernel, None if there is none, b"" at the peer's end."""
         if self.sock is None or self.transport is None or self.transport.is_closing():
             return b""
         try:
@@ -73,107 +70,120 @@
         except OSError:
             return b""
 
-    def quiet(self) -> bool:
-        """It is open, and nothing lies unread in the kernel: neither bytes nor the other side's end."""
-        return self._next() is None
+    def is_quiet(self) -> bool:
+        """Return whether the connection is open and nothing is unread, neither data nor the peer's end."""
+        return self._peek() is None
 
-    def gone(self) -> bool:
-        """The other side has ended, and nothing that it sent lies unread before that."""
-        return self._next() == b""
+    def peer_has_closed(self) -> bool:
+        """Return whether the peer has ended its side and no data is unread before that."""
+        return self._peek() == b""
 
     def abort(self) -> None:
-        """End it now: what is still in the transport's buffer is never written."""
+        """Close at once. Data in the transport's buffer is not written."""
         if self.transport is not None:
             self.transport.abort()
 
     def opened(self) -> None:
-        """For the subclass: the connection can be written to."""
+        """Handle the opening of the connection; for subclasses."""
 
     def received(self, data: bytes) -> None:
-        """For the subclass: bytes came."""
+        """Handle received bytes; for subclasses."""
         raise NotImplementedError
 
-    def never_opened(self) -> None:
-        """For the subclass: no transport could be had for its socket, which is closed."""
+    def open_failed(self) -> None:
+        """Handle a socket that got no transport and is closed; for subclasses."""
 
 
 class PoolConnections(Protocol):
-    """One pool's connections to workers."""
+    """The connections of one pool to its workers."""
 
     connections: set[Any]
 
-    def close_one_idle(self) -> bool:
-        """Close the one that idled longest; whether there was one."""
+    def close_oldest_idle(self) -> bool:
+        """Close the connection that has been idle longest. Returns whether there was one."""
 
 
 class Sockets:
-    """How many connections there may be, and the tasks that open transports."""
+    """The limits on connections, and the tasks that open transports."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, descriptors: int, memory_mb: float) -> None:
         self.loop = loop
-        self.listed = 0  # workers in the list
-        self.limit(descriptors, memory_mb)
-        self.opening = 0  # sockets that have no transport yet
-        self.sides: list[PoolConnections] = []  # one for each pool
-        # A flood of clients must not delay an attempt, discovery or a call: each side has tasks of its own.
-        self._connected = {side: asyncio.Queue[tuple[socket.socket, Connection]]() for side in SIDES}
+        self.listed_workers = 0  # number of workers in the list
+        self.set_limits(descriptors, memory_mb)
+        self.opening_count = 0  # sockets without a transport yet
+        self.pools: list[PoolConnections] = []
+        # Each side has its own tasks: a flood of clients must not delay an attempt, discovery or a call.
+        self._queues = {
+            side: asyncio.Queue[tuple[socket.socket, Connection]]() for side in OPENER_TASKS_BY_SIDE
+        }
         self._tasks = [
-            loop.create_task(self._open(self._connected[side])) for side, n in SIDES.items() for _ in range(n)
+            loop.create_task(self._open_transports(self._queues[side]))
+            for side, count in OPENER_TASKS_BY_SIDE.items()
+            for _ in range(count)
         ]
 
-    def limit(self, descriptors: int, memory_mb: float) -> None:
-        """Share out what the process may hold. Connections beyond a lower limit are not closed for it."""
+    def set_limits(self, descriptors: int, memory_mb: float) -> None:
+        """Divide descriptors and memory among the sides. Connections above a lowered limit stay open."""
         self.descriptors, self.memory_mb = descriptors, memory_mb
         soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        most = descriptors if soft == resource.RLIM_INFINITY else min(descriptors, soft)
-        # Operators' callers: few, and those that say nothing are let go within a second or two.
-        self.for_calls = max(4, min(16, most // 32))
-        free = most - min(RESERVE, most // 3) - self.for_calls
-        clients, workers = free * FOR_CLIENTS, free * (1 - FOR_CLIENTS)
-        left = (memory_mb - BASE_MB) * 1e6 - self.listed * LISTED_WORKER_BYTES
-        fit = min(1.0, max(0.0, left) / (clients * _CLIENT + workers * _WORKER))
-        self.for_clients, self.for_workers = max(8, int(clients * fit)), max(8, int(workers * fit))
-
-    def list_has(self, workers: int) -> None:
-        """So many workers are listed: their memory is not there for connections."""
-        if workers != self.listed:
-            self.listed = workers
-            self.limit(self.descriptors, self.memory_mb)
-
-    def left_for_workers(self, side: "PoolConnections") -> int:
-        """Connections that a pool may still open. Half of an even share is kept for each of the others, so
-        that one pool's trouble does not take the descriptors of all."""
-        share = self.for_workers // (2 * max(1, len(self.sides)))
-        kept = (max(share, len(o.connections)) for o in self.sides if o is not side)
-        return self.for_workers - sum(kept) - len(side.connections)
-
-    def adopt(self, sock: socket.socket, connection: Connection, side: str = "workers") -> None:
-        """Give a connected socket to its connection; the transport owns the descriptor from then on."""
-        self.opening += 1
+        max_descriptors = descriptors if soft == resource.RLIM_INFINITY else min(descriptors, soft)
+        # Callers of the management port: few, and a silent one is disconnected within a second or two.
+        self.max_callers = max(4, min(16, max_descriptors // 32))
+        available = max_descriptors - min(RESERVED_DESCRIPTORS, max_descriptors // 3) - self.max_callers
+        clients, workers = available * CLIENT_SHARE, available * (1 - CLIENT_SHARE)
+        available_bytes = (memory_mb - BASE_MEMORY_MB) * 1e6 - self.listed_workers * LISTED_WORKER_BYTES
+        fitting_share = min(
+            1.0,
+            max(0.0, available_bytes)
+            / (clients * _CLIENT_CONNECTION_BYTES + workers * _WORKER_CONNECTION_BYTES),
+        )
+        self.max_client_connections, self.max_worker_connections = (
+            max(8, int(clients * fitting_share)),
+            max(8, int(workers * fitting_share)),
+        )
+
+    def set_listed_workers(self, workers: int) -> None:
+        """Set the number of listed workers, whose memory is not available for connections."""
+        if workers != self.listed_workers:
+            self.listed_workers = workers
+            self.set_limits(self.descriptors, self.memory_mb)
+
+    def available_for(self, side: "PoolConnections") -> int:
+        """Return how many connections a pool may still open.
+
+        Half of an even share is reserved for each other pool, so that one pool cannot take all descriptors.
+        """
+        share = self.max_worker_connections // (2 * max(1, len(self.pools)))
+        reserved = (max(share, len(other.connections)) for other in self.pools if other is not side)
+        return self.max_worker_connections - sum(reserved) - len(side.connections)
+
+    def open_transport(self, sock: socket.socket, connection: Connection, side: str = "workers") -> None:
+        """Open a transport for a connected socket; the transport owns the descriptor from then on."""
+        self.opening_count += 1
         connection.sock = sock
-        # Each message is one write. The system would keep one back while the one before it is not
-        # acknowledged, and a close over unread bytes, which is a reset, takes it along. asyncio sets this
-        # only on sockets that were made with the protocol's number.
-        with contextlib.suppress(OSError):  # it has ended already, which its transport will say
+        # Each message is one write. Without TCP_NODELAY the kernel holds it back until the previous one is
+        # acknowledged, and a close over unread bytes, which is a reset, would lose it. asyncio sets the
+        # option only on sockets that were created with the protocol number.
+        with contextlib.suppress(OSError):  # already closed, which the transport will report
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._connected[side].put_nowait((sock, connection))
+        self._queues[side].put_nowait((sock, connection))
 
-    async def _open(self, queue: asyncio.Queue[tuple[socket.socket, Connection]]) -> None:
+    async def _open_transports(self, queue: asyncio.Queue[tuple[socket.socket, Connection]]) -> None:
         while True:
             sock, connection = await queue.get()
             try:
                 await self.loop.create_connection(lambda c=connection: c, sock=sock)  # type: ignore[misc]
-            except Exception as error:  # out of memory or descriptors: one connection, not the task
+            except Exception as error:  # out of memory or descriptors: fails one connection, not the task
                 log.warning("socket.no-transport", error=str(error))
                 sock.close()
-                connection.never_opened()
+                connection.open_failed()
             finally:
-                self.opening -= 1
+                self.opening_count -= 1
 
     def close(self) -> None:
-        """End the tasks and whatever they have not opened yet."""
+        """Stop the tasks and close the sockets that wait for a transport."""
         for task in self._tasks:
             task.cancel()
-        for queue in self._connected.values():
+        for queue in self._queues.values():
             while not queue.empty():
                 queue.get_nowait()[0].close()
--- a/wickgw/net/spare_socket.py
+++ b/wickgw/net/spare_socket.py
@@ -1,7 +1,7 @@
-"""One socket kept in reserve, so that its owner can reconnect when the process has no descriptor left.
+"""One socket in reserve, so that its owner can reconnect when the process has no descriptor left.
 
-Clients and workers may take every descriptor of the process between the loss of a connection and the next
-attempt to open it. The reserve is refilled as soon as a descriptor comes back.
+Clients and workers may take every descriptor between the loss of a connection and the attempt to reopen it.
+The reserve is refilled as soon as a descriptor is released.
 """
 
 import contextlib
@@ -9,19 +9,19 @@
 
 
 def open_socket() -> socket.socket:
-    """A new TCP socket that does not block. Raises OSError where no descriptor is left."""
+    """Create a non-blocking TCP socket. Raises OSError if no descriptor is left."""
     return socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
 
 
 class SpareSocket:
-    """Holds one unconnected socket whenever a descriptor could be had for it."""
+    """Holds one unconnected socket whenever a descriptor is available for it."""
 
     def __init__(self) -> None:
         self._spare: socket.socket | None = None
         self.refill()
 
     def take(self) -> socket.socket:
-        """A socket to connect, which is the caller's from now on. Raises OSError."""
+        """Return a socket to connect, which the caller owns from then on. Raises OSError."""
         spare, self._spare = self._spare, None
         if spare is None:
             spare = open_socket()
@@ -29,13 +29,13 @@
         return spare
 
     def refill(self) -> None:
-        """Take a descriptor into reserve, if none is held and one is left."""
+        """Create the spare socket if there is none and a descriptor is left."""
         if self._spare is None:
             with contextlib.suppress(OSError):
                 self._spare = open_socket()
 
     def close(self) -> None:
-        """Give the descriptor back."""
+        """Close the spare socket."""
         if self._spare is not None:
             self._spare.close()
             self._spare = None
--- a/wickgw/net/start_times.py
+++ b/wickgw/net/start_times.py
@@ -1,73 +1,74 @@
-"""When workers last started, on the monotonic clock.
+"""Start times of workers on the monotonic clock.
 
-Discovery tells a start as Unix time, which is placed on the monotonic clock by the wall clock as it was when
-the process began. That may have been wrong by an hour. A start that is first told while the list is watched
-came shortly before that; where Unix time says otherwise it counts from when it was told. Only starts in the
-first list rest on the wall clock alone.
+Discovery reports a start as Unix time. It is converted by the offset between wall clock and monotonic clock
+at the start of this process, which may be wrong by an hour. A start that is first reported while the list is
+watched happened shortly before that. If its Unix time says otherwise, the start counts from the time of the
+report. Only the starts in the first list depend on the wall clock alone.
 """
 
 from collections import OrderedDict
 from collections.abc import Iterable
 from typing import NamedTuple
 
-NEWS_DELAY_S = 6.0  # in which discovery tells its watchers of a start, by the platform's rules
-MOST_GONE = 4096  # workers that left the list and are remembered: back without a new start, one is not cold
+REPORT_DELAY_S = 6.0  # within which discovery reports a start to its watchers, by the platform's rules
+MAX_DEPARTED_WORKERS = 4096  # remembered after they left: one that returns without a restart is not cold
 
 
 class Start(NamedTuple):
-    """A start of a worker, in monotonic seconds; None: long ago."""
+    """A start of a worker, in monotonic seconds. None means long ago."""
 
-    told: float | None  # by Unix time; it also tells starts apart
-    since: float | None  # from when it counts
+    reported_at: float | None  # converted from Unix time; identifies the start
+    counted_from: float | None  # when the start counts as having happened
 
 
 class StartTimes:
-    """The last start of each listed worker, and of some that left."""
+    """The last start of each listed worker, and of some that left the list."""
 
     def __init__(self) -> None:
-        self.last_answer: float | None = None  # when discovery told its list last; None: not yet
+        self.last_answer_at: float | None = None  # when discovery last sent the list; None: not yet
         self._listed: dict[str, Start] = {}
-        self._gone: OrderedDict[str, Start] = OrderedDict()
+        self._departed: OrderedDict[str, Start] = OrderedDict()
 
     def __len__(self) -> int:
-        """How many workers are listed."""
+        """Return the number of listed workers."""
         return len(self._listed)
 
-    def start_of(self, worker: str, told: float | None, now: float) -> Start:
-        """The start of a worker that an answer names, which came now. Nothing is kept until `accept`."""
-        start = self._listed.get(worker) or self._gone.get(worker)
-        if start is None or start.told != told:
-            start = Start(told, self._counts_from(told, now))
+    def start_of(self, worker: str, reported_at: float | None, now: float) -> Start:
+        """Return the start of a worker in an answer that arrived at `now`. Only `accept` stores it."""
+        start = self._listed.get(worker) or self._departed.get(worker)
+        if start is None or start.reported_at != reported_at:
+            start = Start(reported_at, self._counted_from(reported_at, now))
         return start
 
-    def _counts_from(self, told: float | None, now: float) -> float | None:
-        if told is None:
+    def _counted_from(self, reported_at: float | None, now: float) -> float | None:
+        if reported_at is None:
             return None
-        if told > now:
+        if reported_at > now:
             return now
-        if self.last_answer is not None and told < self.last_answer - NEWS_DELAY_S:  # known by that answer
+        # The last answer would have reported this start.
+        if self.last_answer_at is not None and reported_at < self.last_answer_at - REPORT_DELAY_S:
             return now
-        return told
+        return reported_at
 
-    def accept(self, whole: bool, starts: dict[str, Start], gone: Iterable[str]) -> None:
-        """A list is taken: the whole one, or what changed in it, with the workers among these that left."""
-        before = self._listed
+    def accept(self, whole: bool, starts: dict[str, Start], departed: Iterable[str]) -> None:
+        """Store the starts of an accepted list, whole or changes only, and those of the departed workers."""
+        previous = self._listed
         if whole:
             self._listed = starts
-            for worker in before.keys() - starts.keys():
-                self._leave(worker, before[worker])
+            for worker in previous.keys() - starts.keys():
+                self._remember_departed(worker, previous[worker])
         else:
-            before.update(starts)
-        for worker in gone:
+            previous.update(starts)
+        for worker in departed:
             if (start := self._listed.pop(worker, None)) is not None:
-                self._leave(worker, start)
+                self._remember_departed(worker, start)
 
-    def answered(self, now: float) -> None:
-        """Discovery has told its list as it is now."""
-        self.last_answer = now
+    def list_answered(self, now: float) -> None:
+        """Record that discovery has sent the current list."""
+        self.last_answer_at = now
 
-    def _leave(self, worker: str, start: Start) -> None:
-        self._gone[worker] = start
-        self._gone.move_to_end(worker)
-        if len(self._gone) > MOST_GONE:
-            self._gone.popitem(last=False)
+    def _remember_departed(self, worker: str, start: Start) -> None:
+        self._departed[worker] = start
+        self._departed.move_to_end(worker)
+        if len(self._departed) > MAX_DEPARTED_WORKERS:
+            self._departed.popitem(last=False)
--- a/wickgw/net/subset_driver.py
+++ b/wickgw/net/subset_driver.py
@@ -1,6 +1,6 @@
-"""Drives the core of subsetting for one pool: its timer on the loop, its entries as targets with endpoints.
+"""Runs the subsetting logic of one pool: its timer on the event loop, and its entries as targets.
 
-Imported only where the operator's file turns subsetting on and the fleet is larger than one subset.
+Imported only if the operator's file enables subsetting and the fleet is larger than one subset.
 """
 
 import asyncio
@@ -21,34 +21,34 @@
 
 
 class SubsetDriver:
-    """Stands between the whole list of a pool's workers and the part of it that the pool serves by."""
+    """Sits between the whole worker list of a pool and the subset that the pool uses."""
 
     def __init__(
         self,
         subset: WorkerSubset[Target],
         loop: asyncio.AbstractEventLoop,
         clock: Clock,
-        show: Callable[[i.ListKind, list[Target]], None],
+        apply: Callable[[i.ListKind, list[Target]], None],
     ) -> None:
-        self.subset, self.loop, self.clock, self.show = subset, loop, clock, show
+        self.subset, self.loop, self.clock, self.apply = subset, loop, clock, apply
         self._timer: asyncio.TimerHandle | None = None
 
     def on_update(self, kind: i.ListKind, targets: list[Target]) -> None:
-        """News of the whole list."""
-        self._feed(FleetListed(kind, tuple(targets)))
+        """Handle an update of the whole list."""
+        self._handle_event(FleetListed(kind, tuple(targets)))
 
     def knows(self, worker: str) -> bool:
-        """Whether the list holds this worker for the pool."""
+        """Return whether the pool's whole list contains this worker."""
         return worker in self.subset.known
 
     def attempt_ended(self, worker: str, verdict: i.Verdict) -> None:
-        """An attempt has ended; what was called off or never sent tells nothing of its worker."""
+        """Record the end of an attempt. A cancelled, unsent or unusable one says nothing of its worker."""
         if verdict not in (i.Verdict.CANCELLED, i.Verdict.NOT_SENT, i.Verdict.UNUSABLE):
-            self._feed(AttemptEnded(worker, verdict is i.Verdict.OK))
+            self._handle_event(AttemptEnded(worker, verdict is i.Verdict.OK))
 
     @property
     def counts(self) -> dict[str, int]:
-        """Members, substitutes and all known workers, for the report."""
+        """The numbers of members, substitutes and known workers, for the report."""
         subset = self.subset
         return {
             "subset_members": len(subset.members),
@@ -56,19 +56,19 @@
             "fleet_workers": len(subset.known),
         }
 
-    def _feed(self, event: SubsetEvent[Target]) -> None:
+    def _handle_event(self, event: SubsetEvent[Target]) -> None:
         for action in self.subset.handle(event, self.clock.now()):
             match action:
                 case UpdateSubset(workers, gone):
-                    left = [Target(i.Entry(worker, i.Health.GONE), endpoint="") for worker in gone]
-                    self.show(i.ListKind.UPDATE, [*left, *workers])
-                case SetTimer(after):
+                    removed = [Target(i.Entry(worker, i.Health.GONE), endpoint="") for worker in gone]
+                    self.apply(i.ListKind.UPDATE, [*removed, *workers])
+                case SetTimer(delay):
                     self._cancel_timer()
-                    self._timer = self.loop.call_later(after, self._fired)
+                    self._timer = self.loop.call_later(delay, self._timer_fired)
 
-    def _fired(self) -> None:
+    def _timer_fired(self) -> None:
         self._timer = None
-        self._feed(TimerFired())
+        self._handle_event(TimerFired())
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
@@ -76,5 +76,5 @@
             self._timer = None
 
     def close(self) -> None:
-        """Give the timer back."""
+        """Cancel the timer."""
         self._cancel_timer()
--- a/wickgw/net/worker_connection.py
+++ b/wickgw/net/worker_connection.py
@@ -1,7 +1,7 @@
-"""One connection to a label worker: it opens, carries one attempt at a time, and idles between them.
+"""One connection to a label worker: connects, carries one attempt at a time, and is idle between attempts.
 
-It is given back in `connection_lost` or, before it has a transport, in `_give_up_opening`. It must never
-write an attempt twice, nor call one "never ran" unless its last byte was still here.
+The connection is released in `connection_lost` or, before it has a transport, in `_connect_failed`. It never
+sends an attempt twice. It reports "never ran" only while the last byte of the request was still unsent.
 """
 
 import asyncio
@@ -14,297 +14,307 @@
 from wickgw.facts import read_load, read_share
 from wickgw.net import http
 from wickgw.net.attempt import Attempt
-from wickgw.net.job_events import LAST_VERDICTS, read_event
-from wickgw.net.listen import address
+from wickgw.net.job_events import FINAL_VERDICTS, read_event
+from wickgw.net.listen import parse_address
 from wickgw.net.sockets import Connection
-from wickgw.observe import logger
+from wickgw.observe import get_logger
 
 if TYPE_CHECKING:
     from wickgw.net.worker_connections import WorkerConnections
 
-log = logger("wickgw")
-MAX_LINE_BYTES = http.MAX_BODY + 4096  # a job event: the largest result and what stands around it
-MAX_RESPONSE_BYTES = 1 << 20  # all lines of one attempt: hours of progress
-# Seconds that a connection rests after an answer without the request's id, or one that hands it back, before
-# it carries another attempt: a second one, some milliseconds late, would be taken for the next attempt's, and
-# "never ran" for the truth.
-REST_S = 0.05
-FRAMING_END_S = 1.0  # seconds that the framing may end after the last job event
+log = get_logger("wickgw")
+MAX_EVENT_BYTES = http.MAX_BODY_BYTES + 4096  # a job event: the largest result and the JSON around it
+MAX_RESPONSE_BYTES = 1 << 20  # all events of one attempt: hours of progress events
+# Time without a new attempt after an answer that has no request id, or that hands the request back. A
+# duplicate of such an answer may arrive some milliseconds later. It would be taken for the answer to the next
+# attempt, and would report "never ran" for a job that runs.
+QUARANTINE_S = 0.05
+FRAMING_END_TIMEOUT_S = 1.0  # for the end of the framing after the last job event
 
 
-class Ending(NamedTuple):
-    """How an attempt has ended."""
+class AttemptResult(NamedTuple):
+    """The outcome of an attempt."""
 
     verdict: i.Verdict
-    result: bytes = b""  # what the worker made, for OK
+    result: bytes = b""  # the worker's output, for OK
 
 
 @dataclass(slots=True, eq=False)
 class WorkerEndpoint:
-    """One label worker: where it listens and which connections to it are idle, the newest last."""
+    """The address of one label worker, and the idle connections to it, most recently used last."""
 
     address: str
-    since: float | None  # its last start
-    listed: bool = True  # as it stands here; False once it is gone, has moved or has started anew
-    idle: list["WorkerConnection"] = field(default_factory=list)
+    started_at: float | None  # its last start
+    is_current: bool = True  # False once the worker is removed, has moved or has restarted
+    idle_connections: list["WorkerConnection"] = field(default_factory=list)
 
 
 class WorkerConnection(Connection):
-    """One connection to a worker: it opens, carries one attempt at a time, and idles between them."""
+    """A connection to a worker, which carries one attempt at a time."""
 
-    def __init__(self, pool: "WorkerConnections", endpoint: WorkerEndpoint, attempt: Attempt) -> None:
-        self.pool, self.endpoint = pool, endpoint
+    def __init__(self, owner: "WorkerConnections", endpoint: WorkerEndpoint, attempt: Attempt) -> None:
+        self.owner, self.endpoint = owner, endpoint
         self.attempt: Attempt | None = attempt
         self.parser = http.ResponseParser()
-        self.status: http.Head | None = None
-        self.outcome: Ending | None = None  # what the last line said
-        self.line = bytearray()
-        self.size = 0
-        self.written = False  # the last byte of the attempt's request has left the transport's buffer
+        self.head: http.ResponseHead | None = None
+        self.final_result: AttemptResult | None = None  # from the last job event
+        self.line_buffer = bytearray()
+        self.body_bytes = 0
+        self.request_sent = False  # the transport's buffer holds no more bytes of the request
         self.closed = False
         self.idle_since = 0.0
-        self.adopted = False  # the socket is the transport's, or on its way there
-        self.begun = False  # bytes of a request have been given to the transport
-        self.timer: asyncio.TimerHandle | None = None  # bounds the opening, or the wait for the framing's end
+        self.transport_requested = False  # the socket belongs to a transport, or waits for one
+        self.request_started = False  # bytes of a request have been written to the transport
+        self.timer: asyncio.TimerHandle | None = (
+            None  # bounds connecting, the framing's end or the quarantine
+        )
 
-    # Opening.
+    # Connecting.
 
     def open(self) -> None:
-        """Begin to connect. Whatever goes wrong ends the attempt as could-not-connect."""
-        loop = self.pool.loop
+        """Start to connect. Any failure ends the attempt with CONNECT_FAILED."""
+        loop = self.owner.loop
         try:
             self.sock = sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-            code = sock.connect_ex(address(self.endpoint.address))
+            error_code = sock.connect_ex(parse_address(self.endpoint.address))
         except (OSError, ValueError) as error:
             log.warning("try.no-socket", error=str(error))
-            self._give_up_opening()
+            self._connect_failed()
             return
-        if code not in (0, errno.EINPROGRESS):
-            self._give_up_opening()
+        if error_code not in (0, errno.EINPROGRESS):
+            self._connect_failed()
             return
-        self.timer = loop.call_later(self.pool.connect_timeout, self._give_up_opening)
+        self.timer = loop.call_later(self.owner.connect_timeout, self._connect_failed)
         loop.add_writer(sock.fileno(), self._connected)
 
     def _connected(self) -> None:
         assert self.sock is not None
-        self.pool.loop.remove_writer(self.sock.fileno())
+        self.owner.loop.remove_writer(self.sock.fileno())
         if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            self._give_up_opening()
+            self._connect_failed()
         else:
-            self.adopted = True
-            self.pool.sockets.adopt(self.sock, self)
+            self.transport_requested = True
+            self.owner.sockets.open_transport(self.sock, self)
 
-    def _give_up_opening(self) -> None:
-        """Refused, out of reach, or no longer wanted: nothing was written, so the attempt never ran."""
+    def _connect_failed(self) -> None:
+        """End the attempt as never run: connecting failed or was cancelled, and nothing was written."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
         if self.closed:
             return
         self.closed = True
-        if self.sock is not None and not self.adopted:
-            self.pool.loop.remove_writer(self.sock.fileno())
+        if self.sock is not None and not self.transport_requested:
+            self.owner.loop.remove_writer(self.sock.fileno())
             self.sock.close()
         self.sock = None
-        if not self.adopted:
-            self.pool.forget(self)
-        self._end(Ending(i.Verdict.CONNECT_FAILED))
+        if not self.transport_requested:
+            self.owner.remove_connection(self)
+        self._finish_attempt(AttemptResult(i.Verdict.CONNECT_FAILED))
 
-    def never_opened(self) -> None:
-        """No transport could be had for its socket."""
-        self.adopted = False
+    def open_failed(self) -> None:
+        """Release the connection, whose socket got no transport."""
+        self.transport_requested = False
         self.sock = None
         if self.closed:
-            self.pool.forget(self)
+            self.owner.remove_connection(self)
         else:
-            self._give_up_opening()
+            self._connect_failed()
 
     def opened(self) -> None:
-        """The connection can be written to."""
+        """Send the request, now that the connection is open."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if self.closed or self.attempt is None:  # given up while the transport was made
+        if self.closed or self.attempt is None:  # cancelled while the transport was created
             self.abort()
             return
         assert self.transport is not None
-        self.transport.set_write_buffer_limits(high=0)  # resume_writing then means: all is written
-        self.pool.opened += 1
-        self._write()
+        self.transport.set_write_buffer_limits(high=0)  # resume_writing is called when all is written
+        self.owner.opened_count += 1
+        self._send_request()
 
-    # Carrying an attempt.
+    # Running an attempt.
 
-    def carry(self, attempt: Attempt) -> None:
-        """Take an attempt on this idle connection."""
-        self.attempt, self.begun = attempt, False
-        self._write()
+    def send_attempt(self, attempt: Attempt) -> None:
+        """Send an attempt on this idle connection."""
+        self.attempt, self.request_started = attempt, False
+        self._send_request()
 
-    def _write(self) -> None:
+    def _send_request(self) -> None:
         assert self.attempt is not None and self.transport is not None
-        if not self.pool.dispatcher.may_write(self.attempt.pending):
-            if self.attempt is not None:  # not withdrawn with its request
-                self.attempt.give_up(i.Verdict.NOT_SENT)
+        if not self.owner.dispatcher.may_send(self.attempt.pending):
+            if self.attempt is not None:  # not already cancelled with its request
+                self.attempt.abandon(i.Verdict.NOT_SENT)
             return
-        self.status, self.outcome, self.size, self.written = None, None, 0, False
-        self.line.clear()
-        self.begun = True
-        self.pool.opening.discard(self.attempt)
-        self.transport.write(self.attempt.request())
-        # A write that fails at once leaves the buffer empty too, but nothing of it was sent: the transport
-        # is closing then.
+        self.head, self.final_result, self.body_bytes, self.request_sent = None, None, 0, False
+        self.line_buffer.clear()
+        self.request_started = True
+        self.owner.waiting_attempts.discard(self.attempt)
+        self.transport.write(self.attempt.encode_request())
+        # The buffer is also empty after a write that failed at once. Then nothing was sent, and the transport
+        # is closing.
         if not self.transport.is_closing() and not self.transport.get_write_buffer_size():
-            self.written = True
+            self.request_sent = True
 
     def resume_writing(self) -> None:
-        """The transport's buffer is empty again: the last byte has left."""
-        self.written = True
+        """Record that the last byte of the request has left the transport's buffer."""
+        self.request_sent = True
 
     def received(self, data: bytes) -> None:
-        """Bytes of an answer came."""
-        if self.attempt is None:  # nothing was asked for, or the attempt is given up
+        """Handle bytes of an answer."""
+        if self.attempt is None:  # an answer without a request, or to a cancelled attempt
             self.drop()
             return
         try:
             for part in self.parser.feed(data):
-                if self.attempt is None:  # given up by what the part before it led to
+                if self.attempt is None:  # cancelled as a consequence of the previous part
                     return
-                if isinstance(part, http.Head):
-                    self.status = part
-                elif isinstance(part, http.End):
-                    self._whole(part.keep)
+                if isinstance(part, http.ResponseHead):
+                    self.head = part
+                elif isinstance(part, http.EndOfResponse):
+                    self._response_complete(part.keep_alive)
                 else:
-                    self._body(part)
-        except (http.HttpError, ValueError, RecursionError) as error:  # the last: JSON nested without end
+                    self._read_body(part)
+        except (http.HttpError, ValueError, RecursionError) as error:  # RecursionError: deeply nested JSON
             log.warning("peer.nonsense", error=str(error)[:200])
-            self._end(self.outcome or Ending(i.Verdict.ERROR))
+            self._finish_attempt(self.final_result or AttemptResult(i.Verdict.ERROR))
             self.drop()
             return
-        if self.outcome is not None and self.attempt is not None and not self.attempt.over:
-            # The last line is in and the end of the framing is not: the answer does not wait for it.
-            self.timer = self.pool.loop.call_later(FRAMING_END_S, self.drop)
-            self.attempt.end(self.outcome.verdict, self.outcome.result)
-
-    def _body(self, piece: bytes) -> None:
-        self.size += len(piece)
-        if self.size > MAX_RESPONSE_BYTES:
+        if self.final_result is not None and self.attempt is not None and not self.attempt.ended:
+            # The last event is in, but not the end of the framing: the result does not wait for that.
+            self.timer = self.owner.loop.call_later(FRAMING_END_TIMEOUT_S, self.drop)
+            self.attempt.finish(self.final_result.verdict, self.final_result.result)
+
+    def _read_body(self, data: bytes) -> None:
+        self.body_bytes += len(data)
+        if self.body_bytes > MAX_RESPONSE_BYTES:
             raise ValueError("response too long")
-        if self.status is None or self.status.status != 200:
+        if self.head is None or self.head.status != 200:
             return
-        self.line += piece
-        while (end := self.line.find(b"\n")) >= 0:
-            line = bytes(self.line[:end])
-            del self.line[: end + 1]
+        self.line_buffer += data
+        while (end := self.line_buffer.find(b"\n")) >= 0:
+            line = bytes(self.line_buffer[:end])
+            del self.line_buffer[: end + 1]
             if line.strip():
-                self._event(line)
-        if len(self.line) > MAX_LINE_BYTES:
+                self._handle_event(line)
+        if len(self.line_buffer) > MAX_EVENT_BYTES:
             raise ValueError("job event too long")
 
-    def _event(self, line: bytes) -> None:
-        """A job event: what it says of the attempt. A last one is kept until the framing is looked at, so
-        that the connection is in the pool by the time the Balancer counts on it."""
+    def _handle_event(self, line: bytes) -> None:
+        """Handle a job event.
+
+        The final one is kept until the framing is checked, so that the connection is idle by the time the
+        Balancer counts on it.
+        """
         attempt = self.attempt
         if attempt is None:
             return
-        if self.outcome is not None:
+        if self.final_result is not None:
             raise ValueError("job event after the last one")
         event = read_event(line, attempt.pending.id)
-        attempt.free = read_load(event.load, self.pool.free_slots)
-        dispatcher, request, number = self.pool.dispatcher, attempt.pending.id, attempt.number
+        attempt.free_slots = read_load(event.load, self.owner.free_slots_field)
+        dispatcher, request_id, number = self.owner.dispatcher, attempt.pending.id, attempt.number
         match event.state:
             case "started":
-                dispatcher.started(request, number)
+                dispatcher.attempt_started(request_id, number)
             case "running":
-                dispatcher.progress(request, number, read_share(event.share))
+                dispatcher.attempt_progressed(request_id, number, read_share(event.share))
             case "done":
-                self.outcome = Ending(i.Verdict.OK, (event.result or "").encode())
-            case state if state in LAST_VERDICTS:
-                self.outcome = Ending(LAST_VERDICTS[state])
+                self.final_result = AttemptResult(i.Verdict.OK, (event.result or "").encode())
+            case state if state in FINAL_VERDICTS:
+                self.final_result = AttemptResult(FINAL_VERDICTS[state])
             case _:
                 raise ValueError("job event of an unknown state")
 
-    def _response_ending(self) -> Ending:
-        """What a whole response means for its attempt."""
-        assert self.status is not None
-        status, declined = self.status.status, self.status.headers.get("srv-declined") == "1"
-        if self.outcome is not None:
-            return self.outcome
+    def _result_of_response(self) -> AttemptResult:
+        """Return the outcome that a complete response means."""
+        assert self.head is not None
+        status, declined = self.head.status, self.head.headers.get("srv-declined") == "1"
+        if self.final_result is not None:
+            return self.final_result
         if status == 200:
-            return Ending(i.Verdict.RESET)  # it ended before its last line
+            return AttemptResult(i.Verdict.RESET)  # no final event
         if status in (503, 504) and declined:
-            return Ending(i.Verdict.FULL)
+            return AttemptResult(i.Verdict.FULL)
         if 400 <= status < 500 and status not in (408, 429):
-            return Ending(i.Verdict.UNUSABLE)  # the request's fault, not the worker's
-        return Ending(i.Verdict.ERROR)
-
-    def _whole(self, keep: bool) -> None:
-        """The response is in: what it means if no job event has said it, and the connection idles."""
-        assert self.status is not None
-        if self.status.status == 200 and self.line.strip():
-            self._event(bytes(self.line))  # a last line without its end
-            if self.attempt is None:  # given up by what the line led to
+            return AttemptResult(i.Verdict.UNUSABLE)  # the request's fault, not the worker's
+        return AttemptResult(i.Verdict.ERROR)
+
+    def _response_complete(self, keep_alive: bool) -> None:
+        """Finish the attempt of a complete response, and keep the connection where that is possible."""
+        assert self.head is not None
+        if self.head.status == 200 and self.line_buffer.strip():
+            self._handle_event(bytes(self.line_buffer))  # a last line without a line end
+            if self.attempt is None:  # cancelled as a consequence of the event
                 return
-        ending = self._response_ending()
+        attempt_result = self._result_of_response()
         attempt, self.attempt = self.attempt, None
-        if attempt is not None and self.status.status != 200:
-            attempt.free = self.pool.free_told(self.status)
+        if attempt is not None and self.head.status != 200:
+            attempt.free_slots = self.owner.read_free_slots(self.head)
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if keep and self.parser.between and self.written:
-            self._rest_or_idle(ending)
+        if keep_alive and self.parser.is_between_responses and self.request_sent:
+            self._quarantine_or_reuse(attempt_result)
         else:
             self.drop()
         if attempt is not None:
             attempt.connection = None
-            attempt.end(ending.verdict, ending.result)
-
-    def _rest_or_idle(self, ending: Ending) -> None:
-        """The connection may carry another attempt: at once, or after a rest. Its lines name the request that
-        they are about, but one handed back may come here once more."""
-        assert self.status is not None
-        if self.status.status == 200 and ending.verdict is not i.Verdict.FULL:
-            self.pool.idle(self)
+            attempt.finish(attempt_result.verdict, attempt_result.result)
+
+    def _quarantine_or_reuse(self, attempt_result: AttemptResult) -> None:
+        """Make the connection available for another attempt, at once or after a quarantine.
+
+        Job events name their request, so a late duplicate does no harm. A duplicate that hands the request
+        back does, since the same request may be sent here again.
+        """
+        assert self.head is not None
+        if self.head.status == 200 and attempt_result.verdict is not i.Verdict.FULL:
+            self.owner.add_idle(self)
         else:
-            self.timer = self.pool.loop.call_later(REST_S, self._rested)
+            self.timer = self.owner.loop.call_later(QUARANTINE_S, self._quarantine_over)
 
-    def _rested(self) -> None:
+    def _quarantine_over(self) -> None:
         self.timer = None
         if not self.closed:
-            self.pool.idle(self)
+            self.owner.add_idle(self)
 
-    def _end(self, ending: Ending) -> None:
-        """The connection can't carry its attempt any further."""
+    def _finish_attempt(self, attempt_result: AttemptResult) -> None:
+        """End the attempt that this connection cannot carry any further."""
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
             attempt.connection = None
-            attempt.end(ending.verdict, ending.result)
+            attempt.finish(attempt_result.verdict, attempt_result.result)
 
     # Closing.
 
     def drop(self) -> None:
-        """Close it now. An unwritten rest must not be sent, so it is aborted, not closed."""
+        """Close the connection now. It is aborted, since unwritten bytes of a request must not be sent."""
         self.attempt = None
         if self.transport is None:
-            self._give_up_opening()
+            self._connect_failed()
             return
         self.closed = True
         self.abort()
 
     def eof_received(self) -> bool:
-        """The worker has ended: a response without a length is whole, any other is broken off."""
+        """Handle the worker's close: it completes a response without a length and cuts off any other."""
         end = self.parser.eof() if self.attempt is not None else None
         if end is not None:
             try:
-                self._whole(end.keep)
+                self._response_complete(end.keep_alive)
             except (ValueError, RecursionError) as error:
                 log.warning("peer.nonsense", error=str(error)[:200])
-                self._end(Ending(i.Verdict.ERROR))
+                self._finish_attempt(AttemptResult(i.Verdict.ERROR))
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The one place where an open connection is given back."""
+        """Release an open connection; the only place where this happens."""
         self.closed, self.sock = True, None
         if self.timer is not None:
             self.timer.cancel()
-        self.pool.forget(self)
-        self._end(Ending(i.Verdict.RESET if self.written else i.Verdict.CONNECT_FAILED))
+        self.owner.remove_connection(self)
+        self._finish_attempt(
+            AttemptResult(i.Verdict.RESET if self.request_sent else i.Verdict.CONNECT_FAILED)
+        )
--- a/wickgw/net/worker_states.py
+++ b/wickgw/net/worker_states.py
@@ -1,4 +1,4 @@
-"""The state of each listed worker of a pool, with the counts that routes ask for at each request."""
+"""The state of each listed worker of a pool, and the counts that routes need for each request."""
 
 from collections import Counter
 
@@ -13,35 +13,35 @@
         self._counts: Counter[i.Health] = Counter()
 
     def __contains__(self, worker: str) -> bool:
-        """Whether it is listed."""
+        """Return whether a worker is listed."""
         return worker in self._health
 
     def __len__(self) -> int:
-        """How many are listed."""
+        """Return the number of listed workers."""
         return len(self._health)
 
     def update(self, worker: str, health: i.Health) -> None:
-        """A worker is listed with this state; one that is gone is forgotten."""
+        """Set the state of a worker. One in state GONE is removed."""
         self.remove(worker)
         if health is not i.Health.GONE:
             self._health[worker] = health
             self._counts[health] += 1
 
     def remove(self, worker: str) -> None:
-        """A worker is not listed."""
+        """Remove a worker that is no longer listed."""
         if (old := self._health.pop(worker, None)) is not None:
             self._counts[old] -= 1
 
     def missing(self, listed: set[str]) -> set[str]:
-        """Workers that are known and not among these."""
+        """Return the known workers that are not in `listed`."""
         return self._health.keys() - listed
 
     @property
     def ready(self) -> int:
-        """How many are ready."""
+        """The number of ready workers."""
         return self._counts[i.Health.READY]
 
     @property
     def draining(self) -> int:
-        """How many drain."""
+        """The number of draining workers."""
         return self._counts[i.Health.DRAINING]
--- a/wickgw/node.py
+++ b/wickgw/node.py
@@ -1,7 +1,8 @@
-"""One dispatcher put together: the life of the process, reload, drain.
+"""One dispatcher process: start, configuration reload and shutdown.
 
-Owns the parts of a dispatcher and the order in which they begin and end. It must never end the process while
-a request is owed an answer, unless told to, nor switch to a configuration before all of it has been read.
+Owns the parts of a dispatcher and the order in which they start and stop. A stopping process answers every
+accepted request before its end, up to a time limit. A new configuration is read completely before any of it
+applies.
 """
 
 import asyncio
@@ -21,12 +22,12 @@
 from wickgw.net.clients import Clients
 from wickgw.net.discovery import Discovery
 from wickgw.net.dispatch import Clock, Dispatcher
-from wickgw.net.mgmt import Mgmt
+from wickgw.net.mgmt import ManagementServer
 from wickgw.net.pools import Pools
 from wickgw.net.sockets import Sockets
 from wickgw.net.watch_timing import WatchTiming
 from wickgw.net.worker_list import ListError, ListReader, Target
-from wickgw.observe import logger
+from wickgw.observe import get_logger
 from wickgw.observe.log import set_up_log
 from wickgw.service.calls import Call
 
@@ -35,23 +36,23 @@
     from wickgw.config.schema import OperatorConfig
     from wickgw.routing.table import Table
 
-log = logger("wickgw")
-ACCEPT_ON = 0.6  # seconds after SIGTERM in which clients may still come: 0.4 announced, and some
-WIND_DOWN = 1.7  # seconds before its end in which a dispatcher takes nothing more: most jobs take less
-SETTLE = 0.02  # seconds between looks at whether all is answered
-# SIGKILL comes no sooner after SIGTERM than the longest deadline (3 s if it is longer) and 0.7 s more.
-LONGEST, SPARE = 3.0, 0.5
+log = get_logger("wickgw")
+KEEP_ACCEPTING_S = 0.6  # after SIGTERM, while new clients may arrive: 0.4 s as announced, and a margin
+WIND_DOWN_S = 1.7  # before the end, without new requests; most jobs take less
+DRAIN_CHECK_INTERVAL_S = 0.02  # between checks whether all requests are answered
+# SIGKILL comes no sooner after SIGTERM than the longest deadline, or 3 s if that is longer, and 0.7 s more.
+MAX_DEADLINE_S, SHUTDOWN_MARGIN_S = 3.0, 0.5
 
 
 class Node:
-    """One dispatcher: its parts, put together on a loop."""
+    """One dispatcher and its parts, on an event loop."""
 
     def __init__(
         self, config: Config, loop: asyncio.AbstractEventLoop, operator: "OperatorConfig | None" = None
     ) -> None:
         self.config, self.loop, self.operator, clock = config, loop, operator, Clock()
         self.sockets = Sockets(loop, config.descriptors, config.memory_mb)
-        table, zone_header = routes_of(operator)
+        table, zone_header = create_routing_table(operator)
         subsetting = operator.subsetting if operator else None
         self.pools = Pools(config, loop, clock, self.sockets, table, zone_header, subsetting)
         self.clients = Clients(loop, self.sockets, self.pools, config.settings, self.report)
@@ -66,136 +67,146 @@
             self._on_unavailable,
             WatchTiming(settings),
         )
-        # The list known at the start, until discovery has been asked for the first time.
-        self.known: list[Target] | None = None
-        self.address = self._address(clock)
-        self.mgmt: Mgmt | None = None  # the second address, once listened at
-        self.stopping = False  # SIGTERM has come
+        # The list known at the start, until the first call to discovery has ended.
+        self.initial_targets: list[Target] | None = None
+        self.address_driver = self._create_address_driver(clock)
+        self.mgmt: ManagementServer | None = None  # the management port, once it is served
+        self.stopping = False  # SIGTERM was received
         self.finished: asyncio.Future[None] = loop.create_future()
-        self._begin(reader)
+        self._load_known_list(reader)
 
     @property
     def dispatcher(self) -> Dispatcher:
-        """The one dispatcher, where there are no routes."""
+        """The only dispatcher, where there are no routes."""
         return self.pools.servers[""].dispatcher
 
-    def _address(self, clock: Clock) -> "Driver | None":
-        """Moving service addresses, if the operator's file turns them on. Raises ConfigError."""
+    def _create_address_driver(self, clock: Clock) -> "Driver | None":
+        """Create the driver of moving service addresses if the operator's file enables them.
+
+        Raises ConfigError.
+        """
         settings = self.operator.address if self.operator else None
         if settings is None or not settings.enabled:
             return None
         from wickgw.address.driver import Driver
 
-        me = settings.instance or self.config.name
-        if me not in settings.members:
+        instance_name = settings.instance or self.config.name
+        if instance_name not in settings.members:
             allowed = ", ".join(settings.members)
-            raise ConfigError(f"[address] instance: {me!r} read; one of the members {allowed} is allowed")
-        driver = Driver(settings, me, clock, self.loop, self.clients, self._able)
+            raise ConfigError(
+                f"[address] instance: {instance_name!r} read; one of the members {allowed} is allowed"
+            )
+        driver = Driver(settings, instance_name, clock, self.loop, self.clients, self._can_serve)
         self.clients.address_status = driver.status
         return driver
 
-    def _able(self) -> bool:
-        return self.clients.ready and not self.clients.leaving
+    def _can_serve(self) -> bool:
+        return self.clients.ready and not self.clients.is_shutting_down
 
-    def _begin(self, reader: ListReader) -> None:
-        known: list[Target] = []
+    def _load_known_list(self, reader: ListReader) -> None:
+        initial_targets: list[Target] = []
         if self.config.known is not None:
             try:
                 message = reader.decode(self.config.known)
                 reader.accept(message)
-                known = message.targets
-                if message.whole and known:
+                initial_targets = message.targets
+                if message.whole and initial_targets:
                     self.discovery.resume_from(message.version)
             except ListError as error:
                 log.warning("known.unreadable", error=str(error))
-        if self.discovery.timing.pushed:
-            # The agent has had the news since before this process began, and answers at once: a job that
-            # went by the older list until then could go to a worker that drains.
-            self.known = known
+        if self.discovery.timing.is_pushed:
+            # The agent knew of later changes before this process started, and answers at once. A job sent by
+            # the older list until then could reach a draining worker.
+            self.initial_targets = initial_targets
             self.pools.begin([])
             return
-        self.pools.begin(known)
-        self.clients.ready = bool(known)
+        self.pools.begin(initial_targets)
+        self.clients.ready = bool(initial_targets)
 
     def start(self, opened: ListeningSockets) -> tuple[str, int]:
-        """Accept, and ask for the list; returns the address listened at. The sockets are the node's from here
-        on."""
+        """Start to accept clients and to watch the list. Returns the address of the client listener.
+
+        The node owns the sockets from here on.
+        """
         if opened.mgmt is not None:
-            self.mgmt = Mgmt(self.loop, self.sockets, opened.mgmt, self.carry)
-        shared = self.config.passed_descriptor is not None
-        where = self.clients.listen(opened.clients, shared, opened.listening_since)
+            self.mgmt = ManagementServer(self.loop, self.sockets, opened.mgmt, self.handle_call)
+        is_shared = self.config.passed_descriptor is not None
+        address = self.clients.listen(opened.clients, is_shared, opened.listening_since)
         self.discovery.open()
-        if self.address is not None:
-            self.address.start()
-        return where
+        if self.address_driver is not None:
+            self.address_driver.start()
+        return address
 
     def _on_update(self, kind: i.ListKind, targets: list[Target]) -> None:
-        """News of the list."""
-        known, self.known = self.known, None
-        if known is not None and kind is not i.ListKind.REPLACE:
-            # The first answer tells what changed since the list known at the start: both count as one.
-            held = {t.entry.worker: t for t in (*known, *targets)}
+        """Handle an update of the worker list."""
+        initial_targets, self.initial_targets = self.initial_targets, None
+        if initial_targets is not None and kind is not i.ListKind.REPLACE:
+            # The first answer has the changes since the list known at the start. Both form one whole list.
+            merged = {target.entry.worker: target for target in (*initial_targets, *targets)}
             kind = i.ListKind.REPLACE
-            targets = [t for t in held.values() if t.entry.health is not i.Health.GONE]
-        self.sockets.list_has(len(self.discovery.reader.start_times))
+            targets = [target for target in merged.values() if target.entry.health is not i.Health.GONE]
+        self.sockets.set_listed_workers(len(self.discovery.reader.start_times))
         self.pools.on_update(kind, targets)
         self.clients.ready = True
 
     def _on_unavailable(self) -> None:
-        """Discovery did not answer the first call: what was known at the start is all there is."""
-        if self.known:
-            self._on_update(i.ListKind.REPLACE, self.known)
+        """Use the list known at the start, since discovery did not answer the first call."""
+        if self.initial_targets:
+            self._on_update(i.ListKind.REPLACE, self.initial_targets)
 
     def report(self) -> dict[str, object]:
-        """The counters, and what is held right now."""
-        told = self.pools.report()
-        now = told.pop("now")
+        """Return the counters and the current values."""
+        report = self.pools.report()
+        now = report.pop("now")
         assert isinstance(now, dict)
         now |= {
             "client_connections": len(self.clients.connections),
             "discovery_version": self.discovery.version,
         }
-        return {"name": self.config.name, "counters": dict(self.pools.counters), "now": now} | told
+        return {"name": self.config.name, "counters": dict(self.pools.counters), "now": now} | report
 
-    def switch(self, new: Config) -> None:
-        """Take over what a new configuration may change: where discovery is, and the limits. The list, the
-        requests, the attempts and all that was learned stay, and the clock that restarts are told by."""
+    def apply_config(self, new: Config) -> None:
+        """Apply the reloadable parts of a new configuration: the address of discovery, and the limits.
+
+        The list, the requests, the attempts and all learned state stay, and so does the clock by which worker
+        restarts are recognised.
+        """
         old = self.config
-        # What a worker's connection or a request in hand was built on holds until the next start.
-        kept = replace(new, name=old.name, listen=old.listen, seed=old.seed, settings=old.settings)
+        # Connections and open requests depend on these values, so they hold until the next start.
+        applied = replace(new, name=old.name, listen=old.listen, seed=old.seed, settings=old.settings)
         if (new.name, new.listen, new.settings) != (old.name, old.listen, old.settings):
             log.warning("reload.partly", not_taken="name, listen or settings", until="the next start")
-        self.config = kept
-        self.sockets.limit(new.descriptors, new.memory_mb)
+        self.config = applied
+        self.sockets.set_limits(new.descriptors, new.memory_mb)
         if new.discovery != old.discovery:
-            self.discovery.move(new.discovery)
+            self.discovery.change_address(new.discovery)
         self.pools.counters["reloads"] += 1
         log.info("reload.done", discovery=new.discovery)
 
     def reload(self, sources: ConfigSources) -> None:
-        """SIGHUP: read the configuration again. One that can't be used changes nothing."""
+        """Handle SIGHUP: read the configuration again. An invalid one changes nothing."""
         try:
             new = read_config(sources.environ)
             operator = read_ini(sources.ini)
-            self._switch_operator(operator, sources.verbose)
+            self._apply_operator_config(operator, sources.verbose)
         except ConfigError as error:
             self.pools.counters["reloads.failed"] += 1
             log.error("reload.failed", error=str(error))
             return
-        self.switch(new)
+        self.apply_config(new)
 
-    def _switch_operator(self, new: "OperatorConfig | None", verbose: bool) -> None:
-        """Take what can be taken of the operator's file, and say what can't. Raises ConfigError."""
+    def _apply_operator_config(self, new: "OperatorConfig | None", verbose: bool) -> None:
+        """Apply the reloadable parts of the operator's file and log the others. Raises ConfigError."""
         old, address = self.operator, new.address if new else None
-        if self.address is not None and address is not None and address.enabled:
-            self.address.reload(address)
-        elif (self.address is not None) != (address is not None and address.enabled):
+        if self.address_driver is not None and address is not None and address.enabled:
+            self.address_driver.reload(address)
+        elif (self.address_driver is not None) != (address is not None and address.enabled):
             log.warning("reload.partly", not_taken="[address] enabled", until="the next start")
-        if self.pools.table is not None and routing_on(new):
-            table, _ = routes_of(new)
+        if self.pools.table is not None and is_routing_enabled(new):
+            table, _ = create_routing_table(new)
             assert table is not None
-            self.pools.replace(table)
-        elif (self.pools.table is not None) != routing_on(new):
+            self.pools.replace_table(table)
+        elif (self.pools.table is not None) != is_routing_enabled(new):
             log.warning("reload.partly", not_taken="[routing] enabled", until="the next start")
         if (new.subsetting if new else None) != (old.subsetting if old else None):
             log.warning("reload.partly", not_taken="[subsetting]", until="the next start")
@@ -203,61 +214,72 @@
         if (new.log if new else None) != (old.log if old else None):
             configure_log(new, verbose)
 
-    def carry(self, call: Call) -> tuple[bool, str]:
-        """An operator's call on the second address: whether it holds, and a few words."""
+    def handle_call(self, call: Call) -> tuple[bool, str]:
+        """Carry out an operator's call. Returns whether it succeeded, and a short text."""
         if self.stopping:
             return False, "stopping"
         if call is Call.PAUSE:
             log.info("node.paused")
-            self.clients.send_away()
+            self.clients.pause()
         elif call is Call.RESUME:
-            if self.clients.away is not None:
+            if self.clients.paused_since is not None:
                 log.info("node.resumed")
-            self.clients.take_again()
+            self.clients.resume()
         if not self.clients.ready:
             return call is not Call.STATUS, "starting: no list yet"
-        return True, "paused" if self.clients.away is not None else "serving"
+        return True, "paused" if self.clients.paused_since is not None else "serving"
 
     def drain(self) -> None:
-        """Begin to end: clients are served on for a while, then what was taken is answered."""
-        if self.clients.leaving:
+        """Start the shutdown: serve clients for a while longer, then only answer what was accepted."""
+        if self.clients.is_shutting_down:
             return
         self.stopping = True
         log.info("node.draining")
-        self.clients.leave()
-        if self.address is not None:
-            self.address.resign()
-        within = min(LONGEST, max(c.deadline for c in self.config.settings.classes)) + SPARE
+        self.clients.announce_shutdown()
+        if self.address_driver is not None:
+            self.address_driver.resign()
+        within = (
+            min(MAX_DEADLINE_S, max(request_class.deadline for request_class in self.config.settings.classes))
+            + SHUTDOWN_MARGIN_S
+        )
         self.pools.stop(within)
-        # An answer that its client does not read must not keep the process until it is killed.
+        # An answer that its client does not read must not keep the process until SIGKILL.
         self.loop.call_later(within + 0.1, self._finish)
-        if self.clients.shared:
-            # In an upgrade the successor already accepts from the same socket, and said so before this
-            # SIGTERM: clients that come from now on are its, and every answer here is its connection's last.
+        if self.clients.is_shared:
+            # In an upgrade, the successor accepted from the same socket and reported it before this SIGTERM.
+            # New clients belong to it, and every answer here closes its connection.
             self.clients.drain()
-            self.loop.call_later(SETTLE, self._quiet)
+            self.loop.call_later(DRAIN_CHECK_INTERVAL_S, self._finish_when_done)
             return
-        turn = self.loop.time() + max(ACCEPT_ON, within - WIND_DOWN)
-        self.loop.call_later(ACCEPT_ON, self._wind_down, turn)
-
-    def _wind_down(self, turn: float) -> None:
-        """Take no more. Until then clients that have a connection keep it: sent away earlier, all of them at
-        once would fall upon the dispatchers that are left, or upon none where the next one leaves too."""
-        if self.clients.connections and self.loop.time() < turn:
-            self.loop.call_later(SETTLE, self._wind_down, turn)
+        latest_drain_at = self.loop.time() + max(KEEP_ACCEPTING_S, within - WIND_DOWN_S)
+        self.loop.call_later(KEEP_ACCEPTING_S, self._wind_down, latest_drain_at)
+
+    def _wind_down(self, latest_drain_at: float) -> None:
+        """Stop accepting requests.
+
+        Until then connected clients keep their connections. Closed earlier, they would all reconnect at once
+        to the remaining dispatchers, or fail where the next dispatcher stops as well.
+        """
+        if self.clients.connections and self.loop.time() < latest_drain_at:
+            self.loop.call_later(DRAIN_CHECK_INTERVAL_S, self._wind_down, latest_drain_at)
             return
-        if self.address is not None and self.address.busy and self.loop.time() < turn:
-            self.loop.call_later(SETTLE, self._wind_down, turn)
+        if (
+            self.address_driver is not None
+            and self.address_driver.busy
+            and self.loop.time() < latest_drain_at
+        ):
+            self.loop.call_later(DRAIN_CHECK_INTERVAL_S, self._wind_down, latest_drain_at)
             return
         self.clients.drain()
-        self.loop.call_later(SETTLE, self._quiet)  # what was accepted last may still be about to be read
+        # Connections that were accepted last may have unread requests.
+        self.loop.call_later(DRAIN_CHECK_INTERVAL_S, self._finish_when_done)
 
-    def _quiet(self) -> None:
-        """Ends when nothing is owed, unwritten or unread; looks again in a moment otherwise."""
+    def _finish_when_done(self) -> None:
+        """Finish if no request is unanswered, unwritten or unread; otherwise check again later."""
         self.clients.close_idle()
-        if self.pools.owed or self.clients.unsettled or self.sockets.opening:
+        if self.pools.unanswered or self.clients.has_unfinished_work or self.sockets.opening_count:
             if not self.finished.done():
-                self.loop.call_later(SETTLE, self._quiet)
+                self.loop.call_later(DRAIN_CHECK_INTERVAL_S, self._finish_when_done)
         else:
             self._finish()
 
@@ -266,24 +288,27 @@
             self.finished.set_result(None)
 
     def close(self) -> None:
-        """Give everything back."""
+        """Stop and close every part."""
         if self.mgmt is not None:
             self.mgmt.close()
-        if self.address is not None:
-            self.address.close()
+        if self.address_driver is not None:
+            self.address_driver.close()
         self.discovery.close()
         self.clients.close()
         self.pools.close()
         self.sockets.close()
 
 
-def routing_on(operator: "OperatorConfig | None") -> bool:
-    """Whether the operator's file turns routes on."""
+def is_routing_enabled(operator: "OperatorConfig | None") -> bool:
+    """Return whether the operator's file enables routes."""
     return operator is not None and operator.routing is not None and operator.routing.enabled
 
 
-def routes_of(operator: "OperatorConfig | None") -> "tuple[Table | None, str]":
-    """The table of the operator's file, and the header that tells a client's zone. Raises ConfigError."""
+def create_routing_table(operator: "OperatorConfig | None") -> "tuple[Table | None, str]":
+    """Return the routing table of the operator's file and the header that names a client's zone.
+
+    Raises ConfigError.
+    """
     if operator is None or operator.routing is None or not operator.routing.enabled:
         return None, ""
     from wickgw.config.routes import build_table
@@ -292,8 +317,8 @@
 
 
 def check_routes(operator: "OperatorConfig | None") -> None:
-    """Before serving: routes that tie are refused. Raises ConfigError."""
-    if routing_on(operator):
+    """Reject routes of equal precedence before serving. Raises ConfigError."""
+    if is_routing_enabled(operator):
         from wickgw.config.routes import reject_tied_routes
 
         assert operator is not None and operator.routing is not None
@@ -301,7 +326,7 @@
 
 
 def configure_log(operator: "OperatorConfig | None", verbose: bool) -> None:
-    """The log as the operator's file wants it."""
+    """Configure logging as the operator's file says."""
     if operator is None:
         set_up_log(verbose)
     else:
@@ -313,34 +338,37 @@
     operator: "OperatorConfig | None",
     sources: ConfigSources,
     opened: ListeningSockets,
-    early: list[int],
+    early_signals: list[int],
 ) -> None:
-    """Serve until told to end, on sockets that listen already. `early` holds the signals that came before,
-    and those that come until the loop has its own handlers. Raises ConfigError."""
+    """Serve on listening sockets until a signal ends the process.
+
+    `early_signals` holds the signals received before, and collects those received until the loop has its own
+    handlers. Raises ConfigError.
+    """
     loop = asyncio.get_running_loop()
     configure_log(operator, sources.verbose)
     try:
         node = Node(config, loop, operator)
-    except ConfigError as error:  # what is wrong with the operator's file only in this process
+    except ConfigError as error:  # a fault of the operator's file that shows only in this process
         raise ConfigError(f"{sources.ini or DEFAULT_INI_PATH}: {error}") from error
     handlers = {signal.SIGTERM: node.drain, signal.SIGINT: node.drain}
     handlers |= {signal.SIGHUP: functools.partial(node.reload, sources)}
     handlers |= {signal.SIGUSR1: functools.partial(_print_report, node)}
-    for known, handler in handlers.items():
-        loop.add_signal_handler(known, handler)
+    for handled_signal, handler in handlers.items():
+        loop.add_signal_handler(handled_signal, handler)
     host, port = node.start(opened)
     try:
         log.info("node.listening", name=config.name, at=f"{host}:{port}")
-        # A collection of all that was built at the start would stand still for tens of milliseconds.
+        # A garbage collection of the objects from the start would stall the loop for tens of milliseconds.
         gc.freeze()
         gc.set_threshold(20_000, 20, 50)
         gc.enable()
-        for number in dict.fromkeys(early):
-            handlers[signal.Signals(number)]()
+        for signal_number in dict.fromkeys(early_signals):
+            handlers[signal.Signals(signal_number)]()
         await node.finished
     finally:
-        # All is answered. The loop, when it closes, gives signals their default back, and one that comes then
-        # would end the process by it: from here on none is delivered.
+        # All requests are answered. The closing loop restores the default handlers, and a signal after that
+        # would kill the process, so no more signals are delivered.
         signal.pthread_sigmask(signal.SIG_BLOCK, handlers)
         _print_report(node)
         node.close()
@@ -348,10 +376,10 @@
 
 
 def _print_report(node: Node) -> None:
-    with contextlib.suppress(OSError):  # it can't be written just now: no reason to fail
+    with contextlib.suppress(OSError):  # a report that cannot be written is not an error
         try:
             print(json.dumps(node.report()), flush=True)
-        except BrokenPipeError:  # nobody reads any more: the rest is not to be tried again at the exit
-            nowhere = os.open(os.devnull, os.O_WRONLY)
-            os.dup2(nowhere, sys.stdout.fileno())
-            os.close(nowhere)
+        except BrokenPipeError:  # without a reader, the buffered rest must not be written again at exit
+            null_descriptor = os.open(os.devnull, os.O_WRONLY)
+            os.dup2(null_descriptor, sys.stdout.fileno())
+            os.close(null_descriptor)
--- a/wickgw/observe/__init__.py
+++ b/wickgw/observe/__init__.py
@@ -1,25 +1,25 @@
-"""What operators see: the log.
+"""The log of a dispatcher.
 
-Owns the loggers that modules hold. A logger is made when it first has something to say: the library behind it
-is not loaded before the process listens, and a module that never speaks loads nothing.
+Provides the loggers of the modules. structlog is loaded when a logger writes its first event, and not before
+the process listens. A module that logs nothing does not load it.
 """
 
 from typing import Any
 
 
 class Logger:
-    """A named logger of the program."""
+    """A named logger that creates structlog's logger on use."""
 
     def __init__(self, name: str) -> None:
         self._name = name
 
     def __getattr__(self, level: str) -> Any:
-        """`info`, `warning`, `error`, `exception`, `debug`: a method of structlog's logger."""
+        """Return the method of structlog's logger for a level, such as `info`, `warning` or `exception`."""
         from wickgw.observe.log import make_logger
 
         return getattr(make_logger(self._name), level)
 
 
-def logger(name: str) -> Logger:
-    """The logger of that name."""
+def get_logger(name: str) -> Logger:
+    """Return the logger of that name."""
     return Logger(name)
--- a/wickgw/observe/log.py
+++ b/wickgw/observe/log.py
@@ -1,8 +1,8 @@
-"""Structured logging for the whole program: one event a line, key=value or JSON, to standard error.
+"""Structured logging to standard error: one event per line, as key=value or JSON.
 
-Owns the one handler that everything is written through, the program's own events (structlog) and what the
-standard library logs alike. It must never write more than so many lines a second, nor wait for a reader: a
-pipe that nobody empties would stop the loop, and every client with it.
+Owns the one handler for the program's own events (structlog) and for those of the standard library's logging.
+The number of lines per second is limited. Writing never waits for a reader, since a full pipe would stop the
+event loop and with it every client.
 """
 
 import logging
@@ -11,78 +11,82 @@
 import sys
 from typing import Any, Literal
 
-# structlog draws exceptions for a developer's console with rich, where it finds it: a third of all that a
-# start loads, for lines that this program never writes. The `None` says, to this import, that there is none.
-_RICH = {name: sys.modules.pop(name) for name in [*sys.modules] if name.partition(".")[0] == "rich"}
+# Where rich is installed, structlog imports it to format exceptions for a developer's console. That is a
+# third of all that the start loads, for output that this program never writes. `None` makes the import fail.
+_RICH_MODULES = {name: sys.modules.pop(name) for name in [*sys.modules] if name.partition(".")[0] == "rich"}
 sys.modules["rich"] = None  # type: ignore[assignment]
 try:
     import structlog
     from structlog.typing import Processor
 finally:
     del sys.modules["rich"]
-    sys.modules.update(_RICH)
+    sys.modules.update(_RICH_MODULES)
 
-LINES_A_SECOND = 50
-Format = Literal["key-value", "json"]
+MAX_LINES_PER_SECOND = 50
+LogFormat = Literal["key-value", "json"]
 
 
-class Sparing(logging.Filter):
-    """So many lines a second and no more: a peer that talks nonsense must not fill the log. The first line
-    of the next second says how many were left out."""
+class RateLimitFilter(logging.Filter):
+    """Limits the lines per second, so that a misbehaving peer cannot fill the log.
 
-    def __init__(self, most: int) -> None:
+    The first line of the next second has the number of lines that were left out.
+    """
+
+    def __init__(self, max_lines: int) -> None:
         super().__init__()
-        self.most, self.second, self.lines = most, 0, 0
+        self.max_lines, self.second, self.line_count = max_lines, 0, 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether this line is written."""
+        """Return whether to write this line."""
         if int(record.created) != self.second:
-            left_out, self.second, self.lines = self.lines - self.most, int(record.created), 0
+            left_out, self.second, self.line_count = self.line_count - self.max_lines, int(record.created), 0
             if left_out > 0 and isinstance(record.msg, dict):
                 record.msg["lines_left_out"] = left_out
-        self.lines += 1
-        return self.lines <= self.most
+        self.line_count += 1
+        return self.line_count <= self.max_lines
 
 
 def make_logger(name: str) -> Any:
-    """structlog's logger of that name, as the log is set up now."""
+    """Return structlog's logger of that name, with the current configuration."""
     return structlog.get_logger(name)
 
 
-def set_up_log(verbose: bool = False, form: Format = "key-value", most: int = LINES_A_SECOND) -> None:
-    """Configure logging for this process. Called once at the start, and again when a reload changes it."""
-    shared: list[Processor] = [
+def set_up_log(
+    verbose: bool = False, log_format: LogFormat = "key-value", max_lines: int = MAX_LINES_PER_SECOND
+) -> None:
+    """Configure logging for this process: at the start, and again when a reload changes the settings."""
+    common_processors: list[Processor] = [
         structlog.stdlib.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
     ]
-    last: Processor = structlog.processors.JSONRenderer()
-    if form == "key-value":
-        last = structlog.processors.LogfmtRenderer(
+    renderer: Processor = structlog.processors.JSONRenderer()
+    if log_format == "key-value":
+        renderer = structlog.processors.LogfmtRenderer(
             key_order=["timestamp", "level", "event"], bool_as_flag=False, sort_keys=False
         )
     handler = logging.StreamHandler(sys.stderr)
-    handler.addFilter(Sparing(most))
+    handler.addFilter(RateLimitFilter(max_lines))
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
-            foreign_pre_chain=shared,
+            foreign_pre_chain=common_processors,
             processors=[
                 structlog.stdlib.ProcessorFormatter.remove_processors_meta,
                 structlog.processors.format_exc_info,
                 _on_one_line,
-                last,
+                renderer,
             ],
         )
     )
     level = logging.DEBUG if verbose else logging.INFO
     logging.basicConfig(level=level, handlers=[handler], force=True)
     structlog.configure(
-        processors=[*shared, structlog.stdlib.ProcessorFormatter.wrap_for_formatter],
+        processors=[*common_processors, structlog.stdlib.ProcessorFormatter.wrap_for_formatter],
         wrapper_class=structlog.make_filtering_bound_logger(level),
         logger_factory=structlog.stdlib.LoggerFactory(),
         cache_logger_on_first_use=False,
     )
     if stat.S_ISFIFO(os.fstat(sys.stderr.fileno()).st_mode):
-        # Lines are lost instead of waited for.
+        # A line is dropped if the pipe is full, instead of waiting for the reader.
         os.set_blocking(sys.stderr.fileno(), False)
         logging.raiseExceptions = False
 
@@ -90,7 +94,7 @@
 def _on_one_line(
     logger: object, method: str, event: structlog.typing.EventDict
 ) -> structlog.typing.EventDict:
-    """A line is an event: an exception's lines become one, and keys that logfmt can't hold are mended."""
+    """Join the lines of an exception, and replace spaces in keys, which logfmt does not allow."""
     return {
         str(key).replace(" ", "_"): value.replace("\n", " | ") if isinstance(value, str) else value
         for key, value in event.items()
--- a/wickgw/service/__init__.py
+++ b/wickgw/service/__init__.py
@@ -0,0 +1,1 @@
+"""Operation of a running dispatcher: the calls on its management port."""
--- a/wickgw/service/calls.py
+++ b/wickgw/service/calls.py
@@ -1,51 +1,57 @@
-"""Calls on the second address: one line in, one line out, whatever the callers do.
+"""Calls on the management port: one line in, one line out.
 
-Owns the framing of a call, the bounds on callers (bytes, count, time) and the choice of whom to let go when
-there are too many. It answers what it can tell from the bytes alone (too long, unknown, never whole) and
-hands a whole call to its driver, which asks the node and writes `ACK ...` or `NAK ...`. It must never do
-I/O, read a clock, log, or wait for a caller: time comes in with each event.
+Owns the framing of a call, the bounds on callers (bytes, number, time) and the choice of the caller to
+disconnect when there are too many. Calls that are too long, unknown or incomplete are refused here. A valid
+call goes to the driver, which has the node carry it out and writes `ACK ...` or `NAK ...`. This module does
+no I/O, reads no clock and logs nothing; each event brings the current time.
 
-A caller's life:
+The states of a caller:
 
     state      event                       next       action
-    waiting    bytes without a newline     waiting    -                     (NAK once past LONGEST)
-    waiting    a newline                   answered   Call or Refuse
-    waiting    its deadline                answered   Refuse "not whole"
-    answered   bytes                       answered   - (thrown away: one call a connection)
-    answered   its linger ends             gone       Drop
-    any        gone (closed by the caller) gone       -
+    waiting    bytes without a newline     waiting    -           (Refuse beyond MAX_CALL_BYTES)
+    waiting    a newline                   answered   Execute or Refuse
+    waiting    deadline                    answered   Refuse "not whole in time"
+    answered   bytes                       answered   -           (ignored: one call per connection)
+    answered   end of LINGER_S             gone       Drop
+    any        closed by the caller        gone       -
 """
 
 import enum
 from collections import OrderedDict
 from dataclasses import dataclass
 
-LONGEST = 64  # bytes of a call with its newline: the longest is 7; more is not a call
-ANSWER_WITHIN = 0.8  # seconds from connecting to an answer: 1 s is due, and the loop may be busy
-LINGER = 2.0  # seconds that an answered caller may take to read and go, before it is let go
+MAX_CALL_BYTES = 64  # of a call with its newline; the longest valid call has 7
+ANSWER_TIMEOUT_S = 0.8  # from connecting to an answer: 1 s is allowed, and the loop may be busy
+LINGER_S = 2.0  # for a caller to read its answer and close, before it is disconnected
 
 
 class Call(enum.Enum):
-    """What operators may call."""
+    """The calls of operators."""
 
-    STATUS = "STATUS"  # whether this process can serve
-    PAUSE = "PAUSE"  # send clients away
-    RESUME = "RESUME"  # take clients again
+    STATUS = "STATUS"  # report whether this process can serve
+    PAUSE = "PAUSE"  # move clients to other dispatchers
+    RESUME = "RESUME"  # accept clients again
 
 
 @dataclass(frozen=True, slots=True)
 class Opened:
+    """A caller has connected."""
+
     caller: int
 
 
 @dataclass(frozen=True, slots=True)
 class Read:
+    """Bytes of a caller have arrived."""
+
     caller: int
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
+class Closed:
+    """A caller has disconnected."""
+
     caller: int
 
 
@@ -54,12 +60,12 @@
     """Time has passed."""
 
 
-Event = Opened | Read | Gone | Tick
+Event = Opened | Read | Closed | Tick
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """A whole call: the driver carries it out and answers with what the node says."""
+class Execute:
+    """A valid call. The driver has the node carry it out and sends the node's answer."""
 
     caller: int
     call: Call
@@ -67,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer `NAK reason` without asking anybody."""
+    """Answer `NAK reason` without the node."""
 
     caller: int
     reason: str
@@ -75,82 +81,95 @@
 
 @dataclass(frozen=True, slots=True)
 class Drop:
-    """Close the connection now; it is owed nothing."""
+    """Close the connection now; the caller has had its answer, or makes room for another."""
 
     caller: int
 
 
-Action = Ask | Refuse | Drop
+Action = Execute | Refuse | Drop
 
 
 @dataclass(slots=True)
 class _Caller:
-    due: float  # when it must have its answer, or, once answered, when it is let go
+    deadline: float  # for the answer or, once answered, for the caller to close
     answered: bool = False
-    held: bytes = b""
+    received: bytes = b""
 
 
 class Calls:
-    """All callers of the second address."""
+    """All callers of the management port."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most  # callers held at once
+    def __init__(self, max_callers: int) -> None:
+        self.max_callers = max_callers  # connected at once
         self.callers: OrderedDict[int, _Caller] = OrderedDict()  # oldest first
         self.counters = {"calls": 0, "calls.refused": 0, "callers.dropped": 0}
 
-    def next_due(self) -> float | None:
-        """When a Tick is wanted next, if ever."""
-        return min((c.due for c in self.callers.values()), default=None)
+    def next_deadline(self) -> float | None:
+        """Return when the next Tick is due, or None."""
+        return min((caller.deadline for caller in self.callers.values()), default=None)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """What to do about an event."""
+        """Return the actions that an event leads to."""
         actions: list[Action] = []
         if isinstance(event, Opened):
-            if len(self.callers) >= self.most:
-                actions.append(self._let_go())
-            self.callers[event.caller] = _Caller(now + ANSWER_WITHIN)
+            if len(self.callers) >= self.max_callers:
+                actions.append(self._evict())
+            self.callers[event.caller] = _Caller(now + ANSWER_TIMEOUT_S)
         elif isinstance(event, Read):
             caller = self.callers.get(event.caller)
             if caller is not None and not caller.answered:
                 actions += self._read(event.caller, caller, event.data, now)
-        elif isinstance(event, Gone):
+        elif isinstance(event, Closed):
             self.callers.pop(event.caller, None)
-        for name, caller in list(self.callers.items()):
-            if caller.due > now:
+        for caller_id, caller in list(self.callers.items()):
+            if caller.deadline > now:
                 continue
             if caller.answered:
-                del self.callers[name]
+                del self.callers[caller_id]
                 self.counters["callers.dropped"] += 1
-                actions.append(Drop(name))
+                actions.append(Drop(caller_id))
             else:
-                actions.append(self._answer(name, caller, now, Refuse(name, "not whole in time")))
+                actions.append(self._answer(caller_id, caller, now, Refuse(caller_id, "not whole in time")))
         return actions
 
-    def _read(self, name: int, caller: _Caller, data: bytes, now: float) -> list[Action]:
-        caller.held += data[: LONGEST + 1 - len(caller.held)]  # a caller that sends on and on is not kept
-        line, newline, _ = caller.held.partition(b"\n")
+    def _read(self, caller_id: int, caller: _Caller, data: bytes, now: float) -> list[Action]:
+        # Input beyond the longest call is dropped.
+        caller.received += data[: MAX_CALL_BYTES + 1 - len(caller.received)]
+        line, newline, _ = caller.received.partition(b"\n")
         if not newline:
-            if len(caller.held) > LONGEST:
-                return [self._answer(name, caller, now, Refuse(name, "too long"))]
+            if len(caller.received) > MAX_CALL_BYTES:
+                return [self._answer(caller_id, caller, now, Refuse(caller_id, "too long"))]
             return []
-        # What follows the first line is thrown away: one call a connection, and a second one is not read.
+        # The rest after the first line is ignored: one call per connection.
         text = line.removesuffix(b"\r").decode("ascii", "replace").strip(" \t")
         try:
             call = Call(text)
         except ValueError:
-            return [self._answer(name, caller, now, Refuse(name, "unknown call; STATUS, PAUSE or RESUME"))]
-        return [self._answer(name, caller, now, Ask(name, call))]
-
-    def _answer(self, name: int, caller: _Caller, now: float, action: Ask | Refuse) -> Ask | Refuse:
-        caller.answered, caller.held, caller.due = True, b"", now + LINGER
-        self.callers.move_to_end(name)
-        self.counters["calls" if isinstance(action, Ask) else "calls.refused"] += 1
+            return [
+                self._answer(
+                    caller_id, caller, now, Refuse(caller_id, "unknown call; STATUS, PAUSE or RESUME")
+                )
+            ]
+        return [self._answer(caller_id, caller, now, Execute(caller_id, call))]
+
+    def _answer(
+        self, caller_id: int, caller: _Caller, now: float, action: Execute | Refuse
+    ) -> Execute | Refuse:
+        caller.answered, caller.received, caller.deadline = True, b"", now + LINGER_S
+        self.callers.move_to_end(caller_id)
+        self.counters["calls" if isinstance(action, Execute) else "calls.refused"] += 1
         return action
 
-    def _let_go(self) -> Drop:
-        """Room for a new caller: one that has its answer goes first, else the one that waited longest. A
-        caller that has sent nothing whole for longest is the likeliest to be one that never will."""
-        name = next((n for n, c in self.callers.items() if c.answered), next(iter(self.callers)))
-        del self.callers[name]
+    def _evict(self) -> Drop:
+        """Make room for a new caller.
+
+        An answered caller goes first, otherwise the one that has waited longest: a caller that has sent no
+        complete call for the longest time is the least likely to send one.
+        """
+        caller_id = next(
+            (candidate for candidate, caller in self.callers.items() if caller.answered),
+            next(iter(self.callers)),
+        )
+        del self.callers[caller_id]
         self.counters["callers.dropped"] += 1
-        return Drop(name)
+        return Drop(caller_id)
