--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -18,7 +18,7 @@
 AIM_S, DEADLINE_S = 0.5, 6.0
 CLASSES = (
     i.RequestClass("safe", AIM_S, DEADLINE_S, 1.0, 0.3, 2.0),
-    i.RequestClass("unsafe", AIM_S, DEADLINE_S, 3.0, 0.3, 2.0, effect=i.Effect.UNSAFE),
+    i.RequestClass("unsafe", AIM_S, DEADLINE_S, 3.0, 0.3, 2.0, idempotency=i.Idempotency.UNSAFE),
 )
 WORK_S, SLOTS, LOAD = 1.0, 2, 0.6
 LASTS_S = 30.0
@@ -65,8 +65,8 @@
     mean_run_s = running / starts_per_s
     # Urgent work sets the pace of learning: a step of it comes in each least aim.
     classes = (
-        i.RequestClass("urgent", aim=1.0, deadline=600.0, worth=3.0, stretch=2.0),
-        i.RequestClass("task", aim=9.8, deadline=600.0, stretch=2.0),
+        i.RequestClass("urgent", latency_target=1.0, deadline=600.0, worth=3.0, stretch=2.0),
+        i.RequestClass("task", latency_target=9.8, deadline=600.0, stretch=2.0),
     )
     return FleetPlan(
         dispatchers=dispatchers,
--- a/tests/routes.py
+++ b/tests/routes.py
@@ -14,8 +14,8 @@
 from wickgw.config.routes import read_plan
 from wickgw.emulator.group import SETTINGS
 from wickgw.emulator.worker import Worker
-from wickgw.facts import read_settings
 from wickgw.node import Node
+from wickgw.platform_data import read_settings
 from wickgw.routing.check import CheckPlan
 
 HEAD = "[routing]\nenabled = yes\nzones = east west\nclasses = look once\nzone_header = Client-Zone\n"
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -31,8 +31,8 @@
 from typing import Any
 
 from wickgw.config.relay import Config, ConfigSources, open_sockets
-from wickgw.facts import read_settings
 from wickgw.node import Node
+from wickgw.platform_data import read_settings
 
 PATIENCE = 10.0
 MS = 1_000_000
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,11 +17,11 @@
 import pytest
 from scenario import FACTS, MESSAGES, MS, PATIENCE, Scene, job
 
-from wickgw.facts import read_settings
 from wickgw.net import clients, discovery, http, watch_timing, worker_connection
 from wickgw.net.sockets import Connection
 from wickgw.net.watch_timing import WatchTiming
 from wickgw.net.worker_connection import WorkerConnection
+from wickgw.platform_data import read_settings
 
 PUSHED: dict[str, Any] = {"discovery": "push", "siblings": 200}
 SLOW_TO_OPEN: dict[str, Any] = {"bounds": FACTS["bounds"] | {"connect-timeout-ns": 10_000 * MS}}
--- a/wickgw/__init__.py
+++ b/wickgw/__init__.py
@@ -1,4 +1,4 @@
-"""wickgw: the decisions of a dispatcher that pushes jobs to workers."""
+"""wickgw: a job dispatcher that chooses a worker for each request by learned drain rates."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -9,7 +9,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """The decisions, and the numerics that they need, once somebody asks for them."""
+    """Import Balancer, and numpy with it, at its first use."""
     if name == "Balancer":
         from wickgw.balance import Balancer
 
--- a/wickgw/__main__.py
+++ b/wickgw/__main__.py
@@ -1,18 +1,19 @@
-"""`python -m wickgw`: the command line.
+"""Entry point of `python -m wickgw`.
 
-`serve`, worded as the platform words it, starts without the library that explains a command line to people.
+`serve` with valid options starts without loading the command-line library. Every other command line goes to
+`wickgw.cli`.
 """
 
 import sys
 
 
 def main() -> None:
-    """Run the command that the arguments name."""
+    """Run the command given by the arguments."""
     if sys.argv[1:2] == ["serve"]:
-        from wickgw.start import options, serve
+        from wickgw.start import parse_serve_options, serve
 
-        if (told := options(sys.argv[2:])) is not None:
-            sys.exit(serve(*told))
+        if (options := parse_serve_options(sys.argv[2:])) is not None:
+            sys.exit(serve(*options))
     from wickgw.cli import app
 
     app(prog_name="wickgw")
