--- a/wickgw/balance.py
+++ b/wickgw/balance.py
@@ -1,7 +1,14 @@
-"""All decisions of the balancer. Its settings, events and actions are in wickgw/interface.py.
+"""The balancer: all decisions of one dispatcher about workers, attempts and answers.
 
-Read in order: learn (q), members, eligible, pick, outcomes, admission. One Balancer is one dispatcher and
-knows only what its own events told it. Times are seconds on the caller's clock.
+A Balancer receives the events of `wickgw.interface` and returns actions. It knows only what its own events
+report, does no I/O and reads no clock; times are seconds on the caller's clock. The sections below are:
+
+1. Learning: the cost q of each worker, from its drain rate.
+2. Members: the workers with learned state.
+3. Eligibility: which workers may get a request now.
+4. Choice: the cheapest eligible worker.
+5. Attempts: progress, outcomes, hedging, migration, final answers.
+6. Admission: the queues of requests that wait for a worker.
 """
 
 import math
@@ -14,629 +21,989 @@
 from numpy.typing import NDArray
 
 from wickgw import interface as i
-from wickgw.books import NOBODY, Attempt, Bucket, Held, Index, Line, Paces, Request, Worker, ZoneWaits
-from wickgw.matrices import AT_ONCE, Matrices, Once, Solve
+from wickgw.matrices import MAX_ITEMS_PER_CALL, DirectSolve, IncrementalSolve, Matrices
+from wickgw.records import (
+    NO_ROWS,
+    Attempt,
+    Request,
+    RequestQueue,
+    RequestQueues,
+    RunTimes,
+    TokenBucket,
+    Worker,
+    WorkerIndex,
+    ZoneLateness,
+)
 from wickgw.standby import (
-    ADMITTED_AT_ONCE,
-    MEMBERS,
-    MEMBERS_A_STEP,
-    MEMBERS_AN_ATTEMPT,
-    MOST_LEARNED,
+    BASE_MEMBERS,
+    EXTRA_MEMBERS_PER_ATTEMPT,
+    EXTRA_MEMBERS_PER_STEP,
+    MAX_ADMITTED_PER_CALL,
+    MAX_LEARNED_WORKERS,
     Standby,
 )
-from wickgw.validate import check
-
-GAMMA = 0.99  # discount: near 1, so that q tells speeds apart; a worker that never drains has q = 100
-# Weight of the prior against data, for QUEUE dispatchers: jobs squared, or jobs ended. More see less each.
-SIGMA0, ENDS = 4.0, 8.0
-MEMORY = 20.0  # seconds after which data counts 1/e
-EXPLORE = 0.02  # share of picks made at random
-REST = 0.25  # seconds a worker rests after its first strike; doubled by each further one
-MOST_STRIKES = 6.0
-FORGIVE = 0.25  # strikes that one served job takes back: a worker that fails one in five stays out
-GROW = 0.25  # slots of room that a served job gives back
-HANDSHAKE = 4.0  # ways until the first job on a new connection has begun
-# Jobs that all of us let wait at one worker; times its least share that a cold one gets: half of what may be.
-QUEUE, PUSH = 3.0, 2.0
-TOLL = 20.0  # a crossing or new connection at a twentieth of a request's worth counts as one slot in use
-SPARE, MOST_SPARE = 0.5, 50.0  # further attempts that one request gives a right to; most that are saved up
-PIECE = 0.004  # seconds between pieces
-PASSED = 100  # times in a row that room may go past a held request to other kinds; the next is its own
-MATES = 4  # workers of one group that become members for a repeat that may go nowhere else
-LOOKS = 8  # held requests of one kind that are looked at for a worker they may go to
-COPIES, SILENT = 2, 2.5  # of a job not begun; intervals of notes without one
-SLACK = 0.008  # seconds before its time is up at which a held request is answered
+from wickgw.validate import check_settings
+
+# Discount of q per tick. Near 1, so that q separates fast from slow; a worker that never drains has q = 100.
+DISCOUNT = 0.99
+# Weight of the prior against the data, for SHARED_QUEUE_JOBS dispatchers: in jobs squared, and in ended jobs.
+# With more dispatchers each of them sees fewer jobs, and the weight grows in proportion.
+PRIOR_JOBS_SQUARED, PRIOR_ENDED_JOBS = 4.0, 8.0
+MEMORY_S = 20.0  # time in which the weight of data falls to 1/e
+EXPLORATION_SHARE = 0.02  # share of the choices of a worker that are random
+FIRST_EJECTION_S = 0.25  # ejection time at a failure score of 1; doubles with each further failure
+MAX_FAILURE_SCORE = 6.0
+FAILURE_SCORE_PER_SUCCESS = 0.25  # so low that a worker that fails one job in five stays ejected
+LIMIT_GROWTH_SLOTS = 0.25  # growth of a worker's concurrency limit per served job
+NEW_CONNECTION_DELAY_FACTOR = 4.0  # delay of the first start on a new connection, in network delays
+# Jobs that all dispatchers together let wait at one worker; and the multiple of its minimum share that a cold
+# worker gets, which is half of the allowed maximum.
+SHARED_QUEUE_JOBS, COLD_SHARE_FACTOR = 3.0, 2.0
+# Cost of a fee in slots: a fee of a twentieth of a request's worth counts as much as one more slot in use.
+SLOTS_PER_FEE = 20.0
+# Retry budget: the tokens that each arrival adds, and the most that are saved. A further attempt takes one.
+RETRY_TOKENS_PER_REQUEST, MAX_RETRY_TOKENS = 0.5, 50.0
+STEP_PAUSE_S = 0.004  # pause between the steps of a long computation
+MAX_SKIPS = 100  # consecutive free slots that may go past a queue; the next one is for this queue
+MAX_ADMITTED_FROM_GROUP = 4  # members added for a retry that may only go to one zone or cell
+MAX_CANDIDATES = 8  # retries per queue for which an allowed worker is looked for
+# Hedged attempts of a job that has not started; and progress intervals without a report after which an
+# attempt counts as silent.
+MAX_HEDGES, SILENT_INTERVALS = 2, 2.5
+ANSWER_MARGIN_S = 0.008  # time before its deadline at which a queued request is answered
 NEVER_RAN = (i.Verdict.FULL, i.Verdict.CONNECT_FAILED, i.Verdict.NOT_SENT)
-CALLED_OFF = (i.Verdict.NOT_SENT, i.Verdict.CANCELLED)
+CANCELLED_VERDICTS = (i.Verdict.NOT_SENT, i.Verdict.CANCELLED)
 
 
 class Balancer:
-    """One dispatcher's decisions: feed it events in order, carry out the actions it returns."""
+    """The decisions of one dispatcher.
+
+    Feed events to `handle` in the order in which they happen, and carry out the actions that it returns.
+    """
 
     def __init__(self, settings: i.Settings, seed: int) -> None:
-        check(settings)
-        self.set = settings
-        self.random = random.Random(seed)
-        self.workers: dict[str, Worker] = {}
-        self.order: list[Worker] = []
-        self.standby = Standby(settings.zone if settings.crossing_fee > 0 else None)
-        self.most_members = MEMBERS
-        self.admitting = False  # a further call that admits members is on its way
-        self.matrices = Matrices(GAMMA, SIGMA0 * max(1.0, settings.dispatchers / QUEUE))
-        self.rows: list[Worker | None] = []  # whose each row is, of the matrices and of the index
-        self.unlearned: list[int] = []  # rows of nobody beyond the matrices
-        self.active: set[Worker] = set()  # those with something to book at the next tick
-        self.index = Index()
-        self.solving: tuple[Once | Solve, list[Worker | None]] | None = None  # and whose its rows were
-        self.aim = min(c.aim for c in settings.classes)
-        self.keep = settings.idle_close  # seconds for which an unused connection is trusted
-        self.spacing = max(0.0, settings.dispatchers / QUEUE - 1)
-        self.wait = 0.0  # seconds from a send to its start, averaged
-        self.zone_waits = ZoneWaits(settings.zone)
-        self.last_tick = self.solved = -math.inf  # solved: when q was last solved for
-        self.kept = 0.0  # of a worker little known, by a job that begins at once
-        self.requests: dict[str, Request] = {}  # unanswered ones
-        self.out: dict[tuple[str, int], Attempt] = {}  # attempts without an outcome
-        worths = [c.worth for c in settings.classes]
-        # Of a copy that saves half the answers; of many who can't see each other's, so many times fewer do.
-        price = 2 * settings.handshake_fee * sum(worths) / len(worths) * (1 + self.spacing)
-        self.copies = [settings.may_copy and c.worth * (1 - c.late_worth) > price for c in settings.classes]
-        self.tick = self.aim / 2 if any(self.copies) else self.aim  # a copy is for half an aim's wait
-        self.spare = MOST_SPARE  # further attempts left: retries must not feed a jam
-        self.held = Held(len(settings.classes))
-        self.next_end = math.inf  # when the timer for the held comes
-        self.paces = Paces([c.aim for c in settings.classes])
-        self.run = self.paces.run  # seconds a job of the class runs, learned
-        self.quotas = [Bucket(t.quota / settings.dispatchers) for t in settings.tenants]  # our parts of them
-        self.work_sent = 0.0  # slot-seconds sent to warm workers since the last tick
-        self.warm_rate = 0.0  # the same, a second and worker, averaged
-        self.stop_by = math.inf  # this instance ends then
-        self.todo: list[i.Action] = []
+        """Create a balancer; `seed` makes its random choices reproducible.
+
+        Raises:
+            ValueError: a setting is out of range.
+        """
+        check_settings(settings)
+        self.settings = settings
+        self.rng = random.Random(seed)
+        self.workers: dict[str, Worker] = {}  # the members by name
+        self.members: list[Worker] = []
+        self.standby = Standby(settings.zone if settings.cross_zone_fee > 0 else None)
+        self.member_limit = BASE_MEMBERS
+        self.admit_scheduled = False  # the timer "admit" is set
+        self.matrices = Matrices(
+            DISCOUNT, PRIOR_JOBS_SQUARED * max(1.0, settings.dispatchers / SHARED_QUEUE_JOBS)
+        )
+        self.row_workers: list[Worker | None] = []  # by row of the matrices and of the index; None: free
+        self.free_extra_rows: list[int] = []  # free rows of the index beyond those of the matrices
+        self.active_workers: set[Worker] = set()  # workers with data to record at the next tick
+        self.index = WorkerIndex()
+        # The running solve, and the workers of its rows when it started.
+        self.pending_solve: tuple[DirectSolve | IncrementalSolve, list[Worker | None]] | None = None
+        self.latency_target = min(request_class.latency_target for request_class in settings.classes)
+        self.trusted_idle_time = settings.idle_timeout  # seconds; connections idle for longer may be dead
+        # Dispatchers per job that may wait at a worker, minus one: how far this one must hold back.
+        self.contention = max(0.0, settings.dispatchers / SHARED_QUEUE_JOBS - 1)
+        self.mean_wait = 0.0  # moving average of the seconds from a send to the start of the job
+        self.zone_lateness = ZoneLateness(settings.zone)
+        self.last_tick_at = self.solved_at = -math.inf  # solved_at: time of the last solve for q
+        self.default_retention = 0.0  # fraction of its jobs that a worker without data retains per tick
+        self.requests: dict[str, Request] = {}  # without a final answer, by id
+        self.open_attempts: dict[tuple[str, int], Attempt] = {}  # without an outcome, by request and number
+        worths = [request_class.worth for request_class in settings.classes]
+        # About one hedged attempt in two saves an answer, hence the 2. Dispatchers do not see each other's
+        # hedged attempts: among many dispatchers (1 + contention) times fewer of them are useful.
+        price = 2 * settings.handshake_fee * sum(worths) / len(worths) * (1 + self.contention)
+        self.may_hedge_class = [
+            settings.may_hedge and request_class.worth * (1 - request_class.late_worth) > price
+            for request_class in settings.classes
+        ]
+        # Hedging starts after half the latency target, and is checked at each tick.
+        self.tick_interval = self.latency_target / 2 if any(self.may_hedge_class) else self.latency_target
+        self.retry_tokens = MAX_RETRY_TOKENS  # budget of further attempts, so that retries add no overload
+        self.queues = RequestQueues(len(settings.classes))
+        self.next_expiry_timer = math.inf  # time for which the timer "held" is set
+        self.run_times = RunTimes([request_class.latency_target for request_class in settings.classes])
+        self.mean_run_times = self.run_times.mean  # learned, in seconds, by class
+        # This dispatcher's parts of the tenants' quotas.
+        self.quotas = [TokenBucket(tenant.quota / settings.dispatchers) for tenant in settings.tenants]
+        self.warm_work_sent = 0.0  # slot-seconds sent to warm workers since the last tick
+        self.warm_rate = 0.0  # moving average of slot-seconds per second and warm worker
+        self.stop_at = math.inf  # time at which this instance ends
+        self.actions: list[i.Action] = []  # of the current event
 
     def handle(self, event: i.Event, now: float) -> list[i.Action]:
-        """Take one event at its time; return what to do about it, in order."""
-        self.todo = []
-        self.ON[type(event)](self, event, now)
-        return self.todo
-
-    # Learn: the paper's matrices and q.
-
-    def _learn(self, now: float) -> None:
-        """A tick: book x, x_prev and u in the rows in use. New data weighs ever more, so old fades."""
-        used = sorted((w for w in self.active if self.rows[w.row] is w), key=lambda w: w.row)
-        self.matrices.tick([(w.row, w.before, w.flying - w.sent) for w in used if w.row < MOST_LEARNED])
-        for w in used:
-            w.before, w.sent = w.flying, 0
-        self.active = {w for w in used if w.flying}
-        self.matrices.fade(math.exp(self.tick / MEMORY))
-        self.last_tick = now
-
-    def _solve(self, now: float) -> None:
-        """q from the matrices. A worker little known counts as all do: thought idle, it would draw us all."""
-        self.solved = now
-        run = sum(self.run) / len(self.run)  # where it is long, the data of many ticks tells of few ends
-        ends = ENDS * run / self.tick * min(1.0, 2 * run / MEMORY)
-        self.matrices.prior = (1 + self.spacing) * max(SIGMA0, ends)
-        self.kept = self.matrices.pooled(math.exp(-self.tick / run))
-        self.solving = self.matrices.begin(self.kept), list(self.rows)
-        self._go_on()
-
-    def _go_on(self) -> None:
-        """The next step of a solve: a large one at once would stop the instance for tens of milliseconds."""
-        if self.solving is None:
+        """Handle one event that happens at time `now`, and return the resulting actions in order."""
+        self.actions = []
+        self.HANDLERS[type(event)](self, event, now)
+        return self.actions
+
+    # 1. Learning: the matrices and q.
+
+    def _record_tick(self, now: float) -> None:
+        """Record x, x_prev and u of the active workers in the matrices, and let older data decay."""
+        used = sorted(
+            (worker for worker in self.active_workers if self.row_workers[worker.row] is worker),
+            key=lambda worker: worker.row,
+        )
+        self.matrices.record_tick(
+            [
+                (worker.row, worker.previous_in_flight, worker.in_flight - worker.sent_since_tick)
+                for worker in used
+                if worker.row < MAX_LEARNED_WORKERS
+            ]
+        )
+        for worker in used:
+            worker.previous_in_flight, worker.sent_since_tick = worker.in_flight, 0
+        self.active_workers = {worker for worker in used if worker.in_flight}
+        self.matrices.decay(math.exp(self.tick_interval / MEMORY_S))
+        self.last_tick_at = now
+
+    def _start_solve(self, now: float) -> None:
+        """Start to solve for q.
+
+        A worker without data gets the pooled retention of all workers. If it were assumed to be idle, it
+        would attract the jobs of all dispatchers.
+
+        The prior weighs PRIOR_ENDED_JOBS ended jobs. With long running times the data of many ticks contains
+        few ends of jobs, and the weight per tick is larger:
+
+            ends = PRIOR_ENDED_JOBS * run_time / tick_interval * min(1, 2 * run_time / MEMORY_S)
+        """
+        self.solved_at = now
+        run_time = sum(self.mean_run_times) / len(self.mean_run_times)
+        ends = PRIOR_ENDED_JOBS * run_time / self.tick_interval * min(1.0, 2 * run_time / MEMORY_S)
+        self.matrices.prior = (1 + self.contention) * max(PRIOR_JOBS_SQUARED, ends)
+        self.default_retention = self.matrices.pooled_retention(math.exp(-self.tick_interval / run_time))
+        self.pending_solve = self.matrices.start_solve(self.default_retention), list(self.row_workers)
+        self._continue_solve()
+
+    def _continue_solve(self) -> None:
+        """Do the next step of the running solve.
+
+        A large solve in one step would block the instance for tens of milliseconds. A result that is not
+        positive and finite is discarded, and the previous q stays in force.
+        """
+        if self.pending_solve is None:
             return
-        solve, workers = self.solving
-        if (found := solve.step()) is None:
-            self._wake("solve", PIECE)
+        solve, workers = self.pending_solve
+        if (solution := solve.step()) is None:
+            self._set_timer("solve", STEP_PAUSE_S)
             return
-        self.solving = None
-        q = np.append(found, np.full(len(workers) - solve.end, 1 / (1 - GAMMA * self.kept)))
-        known = [(w, value) for w, value in zip(workers, q.tolist(), strict=True) if w is not None]
-        if not all(0 < value < math.inf for _, value in known):  # nonsense: the last q stays
+        self.pending_solve = None
+        q = np.append(
+            solution,
+            np.full(len(workers) - solve.row_count, 1 / (1 - DISCOUNT * self.default_retention)),
+        )
+        known = [
+            (worker, value) for worker, value in zip(workers, q.tolist(), strict=True) if worker is not None
+        ]
+        if not all(0 < value < math.inf for _, value in known):
             return
-        for w, value in known:
-            old, w.q = w.q, value
-            if self.rows[w.row] is w:  # it may have left, or begun anew, since the solve began
-                self.index.costs[w.row] *= value / old
-
-    def _changed(self, w: Worker) -> None:
-        """Enter a worker in the index: from when on it may get something new, and at what cost."""
-        if self.rows[w.row] is not w:  # it has left, and its row may be another's
+        for worker, value in known:
+            previous, worker.q = worker.q, value
+            if self.row_workers[worker.row] is worker:  # not removed or restarted since the solve started
+                self.index.costs[worker.row] *= value / previous
+
+    def _update_index(self, worker: Worker) -> None:
+        """Update a worker's entry in the index: the time from which it is eligible, and its cost
+
+            cost = q * (1 + slots in flight) * (1 + zone fee) * (1 + expected wait)
+
+        with the zone fee in slots, and the expected wait in jobs beyond the reported free slots.
+        """
+        if self.row_workers[worker.row] is not worker:  # removed; its row may belong to another worker
             return
-        # Work waits here, not at a worker that has not begun our last job, or has no room for a whole one.
-        open_at = min(w.warm_at, w.cold_next)
-        if not w.ready or w.unstarted or w.load + 1 > w.room:
-            open_at = math.inf
-        toll = 1.0 if w.zone == self.set.zone else 1 + TOLL * self.set.crossing_fee
-        free_at, rests = max(open_at, w.rest_until, w.crowd_until), w.rest_until if w.ready else math.inf
-        unused = w.idle[-1] if w.idle else -math.inf
-        toll *= 1 + max(0.0, 1 + w.load - w.slots)  # by its load report our next job would wait there
-        self.index.enter(w.row, free_at, open_at, rests, w.q * (1 + w.load) * toll, unused, w.slots - w.load)
-        self.index.away[w.row] = w.zone != self.set.zone
-
-    def _admit(self, now: float) -> None:
-        """Workers on standby become members, a bounded number a call, while there is room."""
-        wanted = min(len(self.standby), ADMITTED_AT_ONCE)
-        if len(self.order) + wanted > self.most_members:
-            self._drop_draining(len(self.order) + wanted - self.most_members)
-        room = self.most_members - len(self.order)
+        # Requests wait in this dispatcher's queues, and not at a worker that has not started the last job
+        # or has no room for a whole one.
+        eligible_at_if_not_ejected = min(worker.warm_at, worker.next_cold_send)
+        if not worker.ready or worker.unstarted or worker.slots_in_flight + 1 > worker.concurrency_limit:
+            eligible_at_if_not_ejected = math.inf
+        factor = (
+            1.0 if worker.zone == self.settings.zone else 1 + SLOTS_PER_FEE * self.settings.cross_zone_fee
+        )
+        eligible_at, ejected_until = (
+            max(eligible_at_if_not_ejected, worker.ejected_until, worker.congested_until),
+            worker.ejected_until if worker.ready else math.inf,
+        )
+        idle_since = worker.idle_since[-1] if worker.idle_since else -math.inf
+        factor *= 1 + max(0.0, 1 + worker.slots_in_flight - worker.slots)
+        self.index.update(
+            worker.row,
+            eligible_at,
+            eligible_at_if_not_ejected,
+            ejected_until,
+            worker.q * (1 + worker.slots_in_flight) * factor,
+            idle_since,
+            worker.slots - worker.slots_in_flight,
+        )
+        self.index.in_other_zone[worker.row] = worker.zone != self.settings.zone
+
+    # 2. Members.
+
+    def _admit_members(self, now: float) -> None:
+        """Move workers from the standby to the members while there is room, a bounded number per call."""
+        wanted = min(len(self.standby), MAX_ADMITTED_PER_CALL)
+        if len(self.members) + wanted > self.member_limit:
+            self._remove_draining(len(self.members) + wanted - self.member_limit)
+        room = self.member_limit - len(self.members)
         if room <= 0 or not self.standby:
             return
-        home = sum(w.zone == self.set.zone for w in self.order)
-        for entry in self.standby.take(min(room, ADMITTED_AT_ONCE), room, home, self.random):
-            self._add(entry, now)
-        room = self.most_members - sum(w.ready for w in self.order)
-        if room > 0 and self.standby and not self.admitting:
-            self.admitting = True
-            self._wake("admit", PIECE)
-
-    def _drop_draining(self, most: int) -> None:
-        """Members that drain make room for others; what was learned of them goes with them."""
-        for worker in [w for w in self.order if not w.ready][:most]:
-            self._drop(worker)
-
-    def _admit_more(self, now: float) -> bool:
-        """None of the members is free: a few more are tried. Whether any were."""
-        before = len(self.order)
-        most = MEMBERS + MEMBERS_AN_ATTEMPT * len(self.out)
-        if not self.standby or before >= most:
+        home_members = sum(worker.zone == self.settings.zone for worker in self.members)
+        for entry in self.standby.take(min(room, MAX_ADMITTED_PER_CALL), room, home_members, self.rng):
+            self._add_member(entry, now)
+        room = self.member_limit - sum(worker.ready for worker in self.members)
+        if room > 0 and self.standby and not self.admit_scheduled:
+            self.admit_scheduled = True
+            self._set_timer("admit", STEP_PAUSE_S)
+
+    def _remove_draining(self, count: int) -> None:
+        """Remove up to `count` draining members and their learned state, to make room for others."""
+        for worker in [member for member in self.members if not member.ready][:count]:
+            self._remove_member(worker)
+
+    def _admit_extra(self, now: float) -> bool:
+        """Admit some more members because none is eligible, and return whether there were any."""
+        before = len(self.members)
+        limit = BASE_MEMBERS + EXTRA_MEMBERS_PER_ATTEMPT * len(self.open_attempts)
+        if not self.standby or before >= limit:
             return False
-        self.most_members = min(most, max(self.most_members, before) + MEMBERS_A_STEP)
-        self._admit(now)
-        return len(self.order) > before
-
-    def _admit_mates(self, r: Request, now: float) -> bool:
-        """A repeat may only go to the group of the first attempt that may have run, of which no member is
-        free: some of the group become members, once for each request. Whether any did."""
-        if r.kind.group is i.Group.ALL or r.mates_admitted or not self.standby:
+        self.member_limit = min(limit, max(self.member_limit, before) + EXTRA_MEMBERS_PER_STEP)
+        self._admit_members(now)
+        return len(self.members) > before
+
+    def _admit_from_group(self, request: Request, now: float) -> bool:
+        """Admit members that may run a repeat of a keyed request, and return whether there were any.
+
+        A repeat may only go to the zone or cell of the first attempt that may have run. This is done once per
+        request, when no member there is eligible.
+        """
+        if (
+            request.request_class.dedup_scope is i.DedupScope.ALL
+            or request.group_admitted
+            or not self.standby
+        ):
             return False
-        risky = [a.worker for a in r.attempts if a.verdict not in NEVER_RAN]
-        if not risky:
+        may_have_run = [attempt.worker for attempt in request.attempts if attempt.verdict not in NEVER_RAN]
+        if not may_have_run:
             return False
-        r.mates_admitted = True
-        first, in_cell = risky[0], r.kind.group is i.Group.CELL
-        mates = self.standby.take_mates(
-            MATES, lambda e: e.cell == first.cell if in_cell else e.zone == first.zone
+        request.group_admitted = True
+        first, in_cell = may_have_run[0], request.request_class.dedup_scope is i.DedupScope.CELL
+        entries = self.standby.take_matching(
+            MAX_ADMITTED_FROM_GROUP,
+            lambda entry: entry.cell == first.cell if in_cell else entry.zone == first.zone,
         )
-        for entry in mates:
-            self._add(entry, now)
-        return bool(mates)
+        for entry in entries:
+            self._add_member(entry, now)
+        return bool(entries)
 
     def _retire_unused(self, now: float) -> None:
-        """Members beyond the usual number go back on standby when they were not used for a while."""
-        over = len(self.order) - MEMBERS
-        if over <= 0 or not self.standby:
+        """Move members beyond the base number back to the standby if they were unused for a while."""
+        excess = len(self.members) - BASE_MEMBERS
+        if excess <= 0 or not self.standby:
             return
-        unused = [w for w in self.order if w.ready and not w.flying and now >= w.warm_at]
-        for worker in [w for w in unused if now - w.used_at > MEMORY][: min(over, MEMBERS_A_STEP)]:
-            self._drop(worker)
+        unused = [
+            member
+            for member in self.members
+            if member.ready and not member.in_flight and now >= member.warm_at
+        ]
+        for worker in [member for member in unused if now - member.last_used_at > MEMORY_S][
+            : min(excess, EXTRA_MEMBERS_PER_STEP)
+        ]:
+            self._remove_member(worker)
             self.standby.add(worker.entry)
-        self.most_members = max(MEMBERS, len(self.order))
+        self.member_limit = max(BASE_MEMBERS, len(self.members))
 
-    def _add(self, entry: i.Entry, now: float) -> None:
-        warm_at = -math.inf if entry.since is None else entry.since + self.set.warm_after
-        row = self._new_row()
-        self.paces.enter(row, entry.kind)
+    def _add_member(self, entry: i.Entry, now: float) -> None:
+        """Make a listed worker a member, without learned state."""
+        warm_at = -math.inf if entry.since is None else entry.since + self.settings.warmup_time
+        row = self._allocate_row()
+        self.run_times.add_worker(row, entry.machine_type)
         worker = Worker(entry.worker, row, entry.zone, entry.cell, entry.since, warm_at, entry)
-        worker.used_at = now
-        # Hundreds of us may see it start at once: the first send waits for a random part of a job's due.
-        worker.cold_next = now + self._pace(worker, self.random.random() * sum(self.run) / len(self.run), now)
-        worker.room = math.inf if worker.zone == self.set.zone else 1.0  # until seen: its zone has the rest
-        self.workers[worker.id] = self.rows[worker.row] = worker
-        self.order.append(worker)
-        self.solved = -math.inf
-        worker.q = 1 / (1 - GAMMA * self.kept)
-        self._changed(worker)
-
-    def _new_row(self) -> int:
-        """A row of nobody: one with learned state, as long as there are any."""
-        if self.matrices.left or self.matrices.size < MOST_LEARNED:
-            row = self.matrices.add()
-            self.rows += [None] * (self.matrices.size - len(self.rows))
+        worker.last_used_at = now
+        # Hundreds of dispatchers may see it start at the same time. Each waits for a random part of the
+        # interval between two of its sends.
+        worker.next_cold_send = now + self._cold_send_interval(
+            worker, self.rng.random() * sum(self.mean_run_times) / len(self.mean_run_times), now
+        )
+        # In another zone one job at a time at first, because the dispatchers of that zone use the rest.
+        worker.concurrency_limit = math.inf if worker.zone == self.settings.zone else 1.0
+        self.workers[worker.id] = self.row_workers[worker.row] = worker
+        self.members.append(worker)
+        self.solved_at = -math.inf
+        worker.q = 1 / (1 - DISCOUNT * self.default_retention)
+        self._update_index(worker)
+
+    def _allocate_row(self) -> int:
+        """Return a free row: one of the matrices, or one of the index alone if the matrices are full."""
+        if self.matrices.free_rows or self.matrices.size < MAX_LEARNED_WORKERS:
+            row = self.matrices.add_row()
+            self.row_workers += [None] * (self.matrices.size - len(self.row_workers))
             return row
-        if not self.unlearned:
-            self.rows.append(None)
-            return len(self.rows) - 1
-        return self.unlearned.pop()
-
-    def _drop(self, worker: Worker) -> None:
-        self.rows[worker.row] = None
+        if not self.free_extra_rows:
+            self.row_workers.append(None)
+            return len(self.row_workers) - 1
+        return self.free_extra_rows.pop()
+
+    def _remove_member(self, worker: Worker) -> None:
+        """Remove a member and its learned state."""
+        self.row_workers[worker.row] = None
         if worker.row < self.matrices.size:
-            self.matrices.drop(worker.row)
+            self.matrices.remove_row(worker.row)
         else:
-            self.unlearned.append(worker.row)
+            self.free_extra_rows.append(worker.row)
         self.index.clear(worker.row)
-        self.order.remove(worker)
+        self.members.remove(worker)
         del self.workers[worker.id]
 
-    # Who is eligible: listed, not draining, within the cold budget, healthy.
+    # 3. Eligibility: listed, not draining, not ejected, and within the limits of a cold worker.
 
-    def _list(self, event: i.WorkerList, now: float) -> None:
+    def _on_worker_list(self, event: i.WorkerList, now: float) -> None:
+        """Apply a change of the list to the members and the standby."""
         if event.kind is i.ListKind.UNAVAILABLE:
-            self._wake("ask", self.random.uniform(0.25, 4.0))  # not all of us at once
+            # A random delay, so that the dispatchers do not all ask again at the same time.
+            self._set_timer("ask", self.rng.uniform(0.25, 4.0))
             return
         if event.kind is not i.ListKind.UPDATE:
-            named = {e.worker for e in event.entries}
-            for worker in [w for w in self.order if w.id not in named]:
-                self._drop(worker)
-            self.standby.keep_only(named)
+            listed = {listed_entry.worker for listed_entry in event.entries}
+            for worker in [member for member in self.members if member.id not in listed]:
+                self._remove_member(worker)
+            self.standby.keep_only(listed)
         for entry in event.entries:
-            self._listed(entry)
-        self._admit(now)
-        self._serve(now)
+            self._apply_list_entry(entry)
+        self._admit_members(now)
+        self._send_queued(now)
 
-    def _listed(self, entry: i.Entry) -> None:
-        """News of one worker."""
+    def _apply_list_entry(self, entry: i.Entry) -> None:
+        """Apply the entry of one worker."""
         ready = entry.health is i.Health.READY
-        old = self.workers.get(entry.worker)
-        if old is None:
+        member = self.workers.get(entry.worker)
+        if member is None:
             self.standby.discard(entry.worker)
         else:
-            same = ready and old.since == entry.since
-            if same or entry.health is i.Health.DRAINING:  # drains kept: no grace is used
-                old.ready = same
-                self._changed(old)
+            same = ready and member.since == entry.since
+            # A draining worker stays a member, but gets no more sends: drain_grace is not used.
+            if same or entry.health is i.Health.DRAINING:
+                member.ready = same
+                self._update_index(member)
                 return
-            self._drop(old)  # gone, or restarted: it begins anew
+            self._remove_member(member)  # it is gone or has restarted; learning starts again
         if ready:
             self.standby.add(entry)
 
-    def _pace(self, worker: Worker, cost: float, now: float) -> float:
-        """Seconds in which a cold worker's share, rising, of what warm ones get from us makes up a job: in
-        its capacity for all of us, and not too late for those who send seldom. Nothing known: one slot."""
-        whole = max(self.set.warm_after, 1e-9)
-        share = 1 - (1 - self.set.cold_from) * min(1.0, max(0.0, worker.warm_at - now) / whole)
-        due = cost / (PUSH * self.warm_rate if self.warm_rate > 1e-9 else 1 / self.set.dispatchers)
-        return 2 * due / (share + math.sqrt(share * share + 2 * (1 - self.set.cold_from) / whole * due))
-
-    def _allowed(self, r: Request, now: float) -> Callable[[Worker], bool] | None:
-        """Rule 2, the one gate of sends: which workers may get the next attempt; None: none may."""
-        risky = [a for a in r.attempts if a.verdict not in NEVER_RAN]
-        out = any(a.verdict is None for a in risky)
-        spent = len(r.attempts) >= r.most or (r.attempts and self.spare < 1)
-        if spent or (out and not self.set.may_copy):
+    def _cold_send_interval(self, worker: Worker, cost: float, now: float) -> float:
+        """Return the seconds in which a cold worker's share adds up to one job of `cost` slot-seconds.
+
+        The worker's share s, as a fraction of a warm worker's work, rises linearly from initial_capacity at
+        its start to 1 after warmup_time. Let k = (1 - initial_capacity) / warmup_time be its slope, and
+        d = cost / (COLD_SHARE_FACTOR * warm_rate) in seconds. The interval T solves s T + k T^2 / 2 = d:
+
+            T = 2 d / (s + sqrt(s^2 + 2 k d))
+
+        The result respects the worker's capacity for all dispatchers together, and is short enough for
+        dispatchers that send rarely. As long as the rate of warm workers is unknown, one slot for all
+        dispatchers is assumed.
+        """
+        warmup_time = max(self.settings.warmup_time, 1e-9)
+        share = 1 - (1 - self.settings.initial_capacity) * min(
+            1.0, max(0.0, worker.warm_at - now) / warmup_time
+        )
+        due = cost / (
+            COLD_SHARE_FACTOR * self.warm_rate if self.warm_rate > 1e-9 else 1 / self.settings.dispatchers
+        )
+        return (
+            2
+            * due
+            / (
+                share
+                + math.sqrt(share * share + 2 * (1 - self.settings.initial_capacity) / warmup_time * due)
+            )
+        )
+
+    def _allowed_workers(self, request: Request, now: float) -> Callable[[Worker], bool] | None:
+        """Return a predicate for the workers that may run the next attempt of a request; None: no worker may.
+
+        Every send passes this check:
+
+        - The number of attempts and the retry budget are not used up.
+        - A second attempt runs at the same time only if hedging is allowed.
+        - If an earlier attempt may have run, an UNSAFE request has no further attempt. A KEYED request may
+          only go to the zone or cell of the first such attempt, within the deduplication window. The margin
+          includes connect_timeout, because the connection may take that long to open.
+        """
+        may_have_run = [attempt for attempt in request.attempts if attempt.verdict not in NEVER_RAN]
+        one_is_open = any(attempt.verdict is None for attempt in may_have_run)
+        used_up = len(request.attempts) >= request.max_attempts or (
+            request.attempts and self.retry_tokens < 1
+        )
+        if used_up or (one_is_open and not self.settings.may_hedge):
             return None
-        if not risky or r.kind.effect is i.Effect.SAFE:
-            return lambda w: True
-        if r.kind.effect is i.Effect.UNSAFE:
+        if not may_have_run or request.request_class.idempotency is i.Idempotency.SAFE:
+            return lambda worker: True
+        if request.request_class.idempotency is i.Idempotency.UNSAFE:
             return None
-        first = risky[0].worker
-        if now >= risky[0].sent + r.kind.window - SLACK - self.set.connect_timeout:  # it may open that long
+        first = may_have_run[0].worker
+        if (
+            now
+            >= may_have_run[0].sent_at
+            + request.request_class.dedup_window
+            - ANSWER_MARGIN_S
+            - self.settings.connect_timeout
+        ):
             return None
-        in_zone, in_cell = r.kind.group is i.Group.ZONE, r.kind.group is i.Group.CELL
-        return lambda w: not ((in_zone and w.zone != first.zone) or (in_cell and w.cell != first.cell))
+        in_zone, in_cell = (
+            request.request_class.dedup_scope is i.DedupScope.ZONE,
+            request.request_class.dedup_scope is i.DedupScope.CELL,
+        )
+        return lambda worker: (
+            not ((in_zone and worker.zone != first.zone) or (in_cell and worker.cell != first.cell))
+        )
 
-    def _free(self, now: float) -> NDArray[np.intp]:
-        """Workers (their rows) that may get something new now, whatever it is."""
-        free = self.index.free(now)
-        if not len(free) and self._admit_more(now):
-            free = self.index.free(now)
-        # If all look bad: rather our own view is.
-        return free if len(free) or not self.index.all_rest(now) else self.index.but_for_rests(now)
+    def _eligible_rows(self, now: float) -> NDArray[np.intp]:
+        """Return the rows of the workers that may get a request now.
+
+        If all ready workers are ejected, the fault is more likely on the side of this dispatcher, and
+        ejections are ignored.
+        """
+        rows = self.index.eligible(now)
+        if not len(rows) and self._admit_extra(now):
+            rows = self.index.eligible(now)
+        return (
+            rows if len(rows) or not self.index.all_ejected(now) else self.index.eligible_if_not_ejected(now)
+        )
 
-    # Pick: the least q x (1 + own jobs in flight), or now and then any.
+    # 4. Choice: the least cost q * (1 + own slots in flight), or now and then any eligible worker.
 
-    def _pick(self, r: Request, free: NDArray[np.intp], now: float) -> Worker | None:
-        if not len(free) or now >= r.until:
+    def _pick_worker(self, request: Request, rows: NDArray[np.intp], now: float) -> Worker | None:
+        """Choose a worker for the next attempt of a request from the eligible `rows`; None if none fits."""
+        if not len(rows) or now >= request.start_by:
             return None
-        if r.attempts or r.kind.effect is i.Effect.UNSAFE:
-            pool = [w for row in free.tolist() if (w := self.rows[row]) is not None]
-            if r.attempts:
-                allowed, tried = self._allowed(r, now), r.attempts[-1].worker
-                pool = [w for w in pool if allowed(w) and w is not tried] if allowed else []
-                if allowed and not pool and self._admit_mates(r, now):
-                    return self._pick(r, self._free(now), now)
-            if r.kind.effect is i.Effect.UNSAFE:  # it cannot be moved: no part in trials, if another is free
-                pool = [w for w in pool if not w.strikes] or pool
-            if not pool:
+        if request.attempts or request.request_class.idempotency is i.Idempotency.UNSAFE:
+            candidates = [worker for row in rows.tolist() if (worker := self.row_workers[row]) is not None]
+            if request.attempts:
+                allowed, last_tried = self._allowed_workers(request, now), request.attempts[-1].worker
+                candidates = (
+                    [worker for worker in candidates if allowed(worker) and worker is not last_tried]
+                    if allowed
+                    else []
+                )
+                if allowed and not candidates and self._admit_from_group(request, now):
+                    return self._pick_worker(request, self._eligible_rows(now), now)
+            # An UNSAFE request can't be retried: it goes to a worker without failures if there is one.
+            if request.request_class.idempotency is i.Idempotency.UNSAFE:
+                candidates = [worker for worker in candidates if not worker.failure_score] or candidates
+            if not candidates:
                 return None
-            free = np.array([w.row for w in pool])
-        if r.kind.stretch > 1:  # too long a run elsewhere: to the quick; if few seem so, "usual" is misjudged
-            quick = free[self.paces.lags(free) <= math.log((1 + r.kind.stretch) / 2)]
-            free = quick if 10 * len(quick) > len(free) else free
-        if self.random.random() < EXPLORE:
-            return self.rows[int(self.random.choice(free))]
-        if now >= self.solved + MEMORY / 20 and self.solving is None:
-            self._solve(now)
-        fresh, dear = now - self.keep, 1 + TOLL * self.set.handshake_fee  # to open a connection
-        costs = self.index.costs[free] * np.where(self.index.unused[free] > fresh, 1.0, dear)
-        if self.zone_waits.home_is_full:  # a price of going elsewhere is no reason to wait at home
-            costs = np.where(self.index.away[free], costs / (1 + TOLL * self.set.crossing_fee), costs)
-        # Ties by own randomness: by the list's order all dispatchers would act in step.
-        return self.rows[int(self.random.choice(free[costs == costs.min()]))]
-
-    def _send(self, r: Request, worker: Worker, now: float) -> None:
-        attempt = Attempt(worker, r.slots, now, now, None if self.set.tells_start else now)
-        if worker.idle and now - worker.idle[-1] >= self.keep:
-            self.todo.append(i.Close(worker.id))
-            worker.idle.clear()
-        attempt.ways = 1.0 if worker.idle else HANDSHAKE
-        attempt.unused = now - worker.idle.pop() if worker.idle else 0.0
-        self.spare -= len(r.attempts) > 0
-        self.out[r.id, len(r.attempts)] = attempt
-        self.active.add(worker)
-        r.attempts.append(attempt)
-        worker.flying += 1
-        worker.used_at = now
-        worker.load += r.slots
-        worker.sent += 1
-        worker.unstarted += self.set.tells_start
-        cost = r.slots * self.run[r.cls]
+            rows = np.array([worker.row for worker in candidates])
+        # With a stretch, half of the slack must remain on a slow worker. If few workers are that fast, the
+        # estimate of the average worker is wrong, and all are considered.
+        if request.request_class.stretch > 1:
+            fast = rows[
+                self.run_times.log_slowness_of(rows) <= math.log((1 + request.request_class.stretch) / 2)
+            ]
+            rows = fast if 10 * len(fast) > len(rows) else rows
+        if self.rng.random() < EXPLORATION_SHARE:
+            return self.row_workers[int(self.rng.choice(rows))]
+        if now >= self.solved_at + MEMORY_S / 20 and self.pending_solve is None:
+            self._start_solve(now)
+        trusted_since, connection_factor = (
+            now - self.trusted_idle_time,
+            1 + SLOTS_PER_FEE * self.settings.handshake_fee,
+        )
+        costs = self.index.costs[rows] * np.where(
+            self.index.idle_since[rows] > trusted_since, 1.0, connection_factor
+        )
+        # The fee of another zone is no reason to wait for a worker of a full home zone.
+        if self.zone_lateness.home_is_full:
+            costs = np.where(
+                self.index.in_other_zone[rows],
+                costs / (1 + SLOTS_PER_FEE * self.settings.cross_zone_fee),
+                costs,
+            )
+        # Ties are broken at random: in the order of the list all dispatchers would make the same choice.
+        return self.row_workers[int(self.rng.choice(rows[costs == costs.min()]))]
+
+    def _send(self, request: Request, worker: Worker, now: float) -> None:
+        """Send the next attempt of a request to a worker."""
+        attempt = Attempt(worker, request.slots, now, now, None if self.settings.reports_start else now)
+        if worker.idle_since and now - worker.idle_since[-1] >= self.trusted_idle_time:
+            self.actions.append(i.Close(worker.id))
+            worker.idle_since.clear()
+        attempt.start_delay_factor = 1.0 if worker.idle_since else NEW_CONNECTION_DELAY_FACTOR
+        attempt.connection_idle_time = now - worker.idle_since.pop() if worker.idle_since else 0.0
+        self.retry_tokens -= len(request.attempts) > 0
+        self.open_attempts[request.id, len(request.attempts)] = attempt
+        self.active_workers.add(worker)
+        request.attempts.append(attempt)
+        worker.in_flight += 1
+        worker.last_used_at = now
+        worker.slots_in_flight += request.slots
+        worker.sent_since_tick += 1
+        worker.unstarted += self.settings.reports_start
+        cost = request.slots * self.mean_run_times[request.class_index]
         if now < worker.warm_at:
-            worker.cold_next = now + self._pace(worker, cost, now)
+            worker.next_cold_send = now + self._cold_send_interval(worker, cost, now)
         else:
-            self.work_sent += cost
-        self._changed(worker)
-        self.todo.append(i.Send(r.id, worker.id))
+            self.warm_work_sent += cost
+        self._update_index(worker)
+        self.actions.append(i.Send(request.id, worker.id))
 
-    # What an outcome leads to: retry or answer.
+    # 5. Attempts: progress, outcomes, hedging, migration, final answers.
 
-    def _note(self, event: i.Started | i.Progress, now: float) -> None:
-        attempt, r = self.out.get((event.request, event.attempt)), self.requests.get(event.request)
+    def _on_attempt_news(self, event: i.Started | i.Progress, now: float) -> None:
+        """Handle the start of a job or a progress report."""
+        attempt, request = (
+            self.open_attempts.get((event.request, event.attempt)),
+            self.requests.get(event.request),
+        )
         if attempt is None:
             return
-        if attempt.tell(event.share, now, r is not None and r.begun == 1):
-            self._paced(r, attempt, now)
-        if attempt.started is None:
-            attempt.started = now
+        if attempt.record_news(event.fraction_done, now, request is not None and request.started_count == 1):
+            self._check_pace(request, attempt, now)
+        if attempt.started_at is None:
+            attempt.started_at = now
             attempt.worker.unstarted -= 1
-            wait, attempt.worker.way = now - attempt.sent, min(attempt.worker.way, now - attempt.sent)
-            # Full: no more than ran then. Where the way alone takes that long it says nothing of the queue.
-            if wait - attempt.ways * attempt.worker.way > self.aim / 4:
-                attempt.worker.room = max(1.0, attempt.worker.load - attempt.slots)
-            # After a wait leave it to the others: when all are full, all of us keep about QUEUE jobs there.
-            attempt.worker.crowd_until = now + wait * self.spacing * min(1.0, self.wait / self.aim) ** 2
-            self.wait += 0.05 * (wait - self.wait)
-            self.zone_waits.observe(r is None or wait > r.slack(self.run[r.cls]), attempt.worker.zone)
-            self._changed(attempt.worker)
-            if attempt.unused > self.keep / 2:
-                self.keep = min(1.1 * self.keep, self.set.idle_close)
-            self._call_off(r, begun=False)
-            self._serve(now)
-
-    def _paced(self, r: Request | None, attempt: Attempt, now: float) -> None:
-        """A job's pace tells how slow its worker is, once it is known how long it runs on a usual one. From
-        one so slow that half of its class's slack is lost it goes elsewhere, if that is quicker even so."""
-        if r is None or attempt.moved or self.rows[attempt.worker.row] is not attempt.worker:
+            wait, attempt.worker.min_start_delay = (
+                now - attempt.sent_at,
+                min(attempt.worker.min_start_delay, now - attempt.sent_at),
+            )
+            # The worker is full: allow only as many slots as were in flight besides this job. The network
+            # delay is subtracted first, because it is not a wait in the worker's queue.
+            if wait - attempt.start_delay_factor * attempt.worker.min_start_delay > self.latency_target / 4:
+                attempt.worker.concurrency_limit = max(1.0, attempt.worker.slots_in_flight - attempt.slots)
+            # After a wait, leave the worker to the other dispatchers for a while. When all workers are full,
+            # all dispatchers together then keep about SHARED_QUEUE_JOBS jobs waiting at each.
+            attempt.worker.congested_until = (
+                now + wait * self.contention * min(1.0, self.mean_wait / self.latency_target) ** 2
+            )
+            self.mean_wait += 0.05 * (wait - self.mean_wait)
+            self.zone_lateness.observe(
+                request is None or wait > request.slack(self.mean_run_times[request.class_index]),
+                attempt.worker.zone,
+            )
+            self._update_index(attempt.worker)
+            if attempt.connection_idle_time > self.trusted_idle_time / 2:
+                self.trusted_idle_time = min(1.1 * self.trusted_idle_time, self.settings.idle_timeout)
+            self._cancel_other_attempts(request, served=False)
+            self._send_queued(now)
+
+    def _check_pace(self, request: Request | None, attempt: Attempt, now: float) -> None:
+        """Learn a worker's slowness from a job's progress, and move or end the job if it is too slow.
+
+        The slowness follows from the job's running time on an average worker, once that is known. A job
+        migrates if half of its class's slack is lost at this worker, or if it can't end before its deadline
+        here, and it is expected to end earlier on another worker. A job that can't end before this instance
+        stops is refused, so that its client can send it to another dispatcher.
+        """
+        if request is None or attempt.migrated or self.row_workers[attempt.worker.row] is not attempt.worker:
             return
-        r.size = self.paces.size(attempt.worker.row, attempt.whole, r.size)
-        usual, rest = math.exp(r.size), attempt.rest(now)
-        left = usual * (1 - attempt.share) + self.set.progress_every  # elsewhere, if there is a saved state
-        late = rest > usual + r.kind.aim and now + rest > r.urgency + (1 + r.kind.stretch) / 2 * usual
-        harmless = self.set.may_cancel and r.kind.effect is i.Effect.SAFE
-        r.until = max(r.until, r.urgency + r.kind.stretch * usual - left)
-        ends = harmless and now + rest > self.stop_by  # its client may still have it run elsewhere
-        goes = harmless and (late or now + rest > r.due > now + left)
-        if ends or (goes and self._pick(r, self._free(now), now)):
-            attempt.moved = not ends
-            self.todo.append(i.Cancel(r.id, r.attempts.index(attempt)))
-        if ends:
-            self._answer(r)
-
-    def _may_be_long(self, r: Request | None, attempt: Attempt, now: float) -> None:
-        """What ran so long may well run as long again, and has the slack of its length to start again."""
-        if r and attempt.started is not None and not attempt.whole and self.set.tells_start:
-            r.until = max(r.until, r.urgency + 2 * (r.kind.stretch - 1) * (now - attempt.started))
-
-    def _call_off(self, r: Request | None, begun: bool) -> None:
-        """Ends the other copies of a request: those that wait when one begins, all when one is served."""
-        for number, other in enumerate(r.attempts if r and self.set.may_cancel else ()):
-            if r and other.verdict is None and (begun or other.started is None):
-                self.todo.append(i.Cancel(r.id, number))
-
-    def _outcome(self, event: i.Outcome, now: float) -> None:
-        attempt = self.out.pop((event.request, event.attempt), None)
-        r = self.requests.get(event.request)
-        if event.over:
+        request.log_run_time = self.run_times.estimate_log_run_time(
+            attempt.worker.row, attempt.total_time, request.log_run_time
+        )
+        average_run_time, remaining = math.exp(request.log_run_time), attempt.remaining_time(now)
+        # Time to finish on an average worker. The job resumes there from the state that it last saved, which
+        # is up to one progress interval old.
+        remaining_elsewhere = average_run_time * (1 - attempt.fraction_done) + self.settings.progress_interval
+        too_slow = (
+            remaining > average_run_time + request.request_class.latency_target
+            and now + remaining > request.due_at + (1 + request.request_class.stretch) / 2 * average_run_time
+        )
+        may_move = self.settings.may_cancel and request.request_class.idempotency is i.Idempotency.SAFE
+        request.start_by = max(
+            request.start_by,
+            request.due_at + request.request_class.stretch * average_run_time - remaining_elsewhere,
+        )
+        refuse = may_move and now + remaining > self.stop_at
+        migrate = may_move and (too_slow or now + remaining > request.deadline > now + remaining_elsewhere)
+        if refuse or (migrate and self._pick_worker(request, self._eligible_rows(now), now)):
+            attempt.migrated = not refuse
+            self.actions.append(i.Cancel(request.id, request.attempts.index(attempt)))
+        if refuse:
+            self._give_final_answer(request)
+
+    def _extend_start_by(self, request: Request | None, attempt: Attempt, now: float) -> None:
+        """Extend `start_by` of a request whose job has run for long without a known total time.
+
+        The job is assumed to take as long again, and its latency target grows with its running time.
+        """
+        if (
+            request
+            and attempt.started_at is not None
+            and not attempt.total_time
+            and self.settings.reports_start
+        ):
+            request.start_by = max(
+                request.start_by,
+                request.due_at + 2 * (request.request_class.stretch - 1) * (now - attempt.started_at),
+            )
+
+    def _cancel_other_attempts(self, request: Request | None, served: bool) -> None:
+        """Cancel the open attempts of a request: all if it is served, else those that have not started."""
+        for number, other in enumerate(request.attempts if request and self.settings.may_cancel else ()):
+            if request and other.verdict is None and (served or other.started_at is None):
+                self.actions.append(i.Cancel(request.id, number))
+
+    def _on_outcome(self, event: i.Outcome, now: float) -> None:
+        """Handle the end of an attempt: learn from it, and retry the request or answer it."""
+        attempt = self.open_attempts.pop((event.request, event.attempt), None)
+        request = self.requests.get(event.request)
+        if event.answered:
             self.requests.pop(event.request, None)
         if attempt is None:
             return
-        w, attempt.verdict = attempt.worker, event.verdict
-        w.flying -= 1
-        w.load -= attempt.slots
-        if attempt.started is None:
-            w.unstarted -= 1
+        worker, attempt.verdict = attempt.worker, event.verdict
+        worker.in_flight -= 1
+        worker.slots_in_flight -= attempt.slots
+        if attempt.started_at is None:
+            worker.unstarted -= 1
         if event.verdict is i.Verdict.OK:
-            w.idle.append(now)
-            w.turned = False
-            w.room += GROW
-            w.strikes = max(0.0, w.strikes - FORGIVE)
-            self._call_off(r, begun=True)
-            if r and attempt.started is not None and r.begun == 1 and self.rows[w.row] is w:
-                self.paces.ran(r.cls, now - attempt.started, w.row)
+            worker.idle_since.append(now)
+            worker.returned_unusable = False
+            worker.concurrency_limit += LIMIT_GROWTH_SLOTS
+            worker.failure_score = max(0.0, worker.failure_score - FAILURE_SCORE_PER_SUCCESS)
+            self._cancel_other_attempts(request, served=True)
+            if (
+                request
+                and attempt.started_at is not None
+                and request.started_count == 1
+                and self.row_workers[worker.row] is worker
+            ):
+                self.run_times.observe_run(request.class_index, now - attempt.started_at, worker.row)
         else:
-            attempt.unbook(self.last_tick)
-            self._may_be_long(r, attempt, now)
-            # One request that nobody can use is its client's fault; a worker that calls all so is sick.
+            attempt.remove_from_tick(self.last_tick_at)
+            self._extend_start_by(request, attempt, now)
+            # A single unusable request is its client's fault. A worker that returns UNUSABLE twice without
+            # serving a request in between is faulty.
             unusable = event.verdict is i.Verdict.UNUSABLE
-            blameless = (unusable and not w.turned) or event.verdict in CALLED_OFF
-            w.turned = w.turned or unusable
-            if attempt.moved or not blameless:
-                # Eases off a worker that fails, is full, silent or out of reach; it comes back by trials.
-                w.strikes = min(w.strikes + 1, MOST_STRIKES)
-                w.rest_until = now + REST * 2 ** (w.strikes - 1)
-        self.active.add(w)
-        w.slots = w.slots if event.free is None else event.free + w.load
-        self._changed(w)
-        if r and not event.over and r.ticket < 0 and all(a.verdict is not None for a in r.attempts):
+            not_its_fault = (unusable and not worker.returned_unusable) or event.verdict in CANCELLED_VERDICTS
+            worker.returned_unusable = worker.returned_unusable or unusable
+            if attempt.migrated or not not_its_fault:
+                # Eject a worker that fails, or is full, silent or unreachable. It is tried again afterwards.
+                worker.failure_score = min(worker.failure_score + 1, MAX_FAILURE_SCORE)
+                worker.ejected_until = now + FIRST_EJECTION_S * 2 ** (worker.failure_score - 1)
+        self.active_workers.add(worker)
+        worker.slots = worker.slots if event.free is None else event.free + worker.slots_in_flight
+        self._update_index(worker)
+        if (
+            request
+            and not event.answered
+            and request.queue_ticket < 0
+            and all(other.verdict is not None for other in request.attempts)
+        ):
             if event.verdict is i.Verdict.UNUSABLE:
-                del self.requests[r.id]
-                self.todo.append(i.Fail(r.id))
+                del self.requests[request.id]
+                self.actions.append(i.Fail(request.id))
             else:
-                self._hold(r, now)
-        self._serve(now)
+                self._enqueue(request, now)
+        self._send_queued(now)
+
+    def _give_final_answer(self, request: Request) -> None:
+        """End a request without a result: Refuse if a retry by the client does no harm, else Fail.
 
-    def _answer(self, r: Request) -> None:
-        """The one gate of final answers: a refusal only where another try does no harm."""
-        if self.requests.pop(r.id, None) is None:
+        A retry does no harm if the request is SAFE, if no attempt may have run, or if all workers drop
+        repeats of its key. All refusals pass this check.
+        """
+        if self.requests.pop(request.id, None) is None:
             return
-        self.held.remove(r)
-        harmless = r.kind.effect is i.Effect.SAFE or all(a.verdict in NEVER_RAN for a in r.attempts)
-        harmless = harmless or (r.kind.effect is i.Effect.KEYED and r.kind.group is i.Group.ALL)
-        self.todo.append(i.Refuse(r.id, self._room_in(r)) if harmless else i.Fail(r.id))
-
-    def _room_in(self, r: Request) -> float:
-        """Seconds until a refused job, come back, may find a worker free: those held run before it. Spread,
-        so that clients refused together do not come back together."""
-        ready = max(1, int((self.index.rests < math.inf).sum()) + len(self.standby))
-        work: float = sum(map(operator.mul, self.run, self.held.slots)) + self.run[r.cls] * r.slots
-        share = work * self.set.dispatchers / ready  # the others hold about as much for the same workers
-        most = self.set.most_after if self.stop_by == math.inf else 0.0  # elsewhere there is room at once
-        return min(max(share, self.aim) * self.random.uniform(0.75, 1.25), most)
-
-    def _left(self, event: i.ClientLeft | i.StreamBegan, now: float) -> None:
-        if r := self.requests.pop(event.request, None):
-            self.held.remove(r)
-
-    def _watch(self, now: float) -> None:
-        """Copies work that waits; calls it off if all is quiet and another may still serve it in time."""
-        free = self._free(now) if self.out and any(self.copies) else NOBODY
-        for (name, number), attempt in list(self.out.items()):
-            r, age = self.requests.get(name), now - attempt.sent
-            if r is None or attempt.moved or r.kind.effect is i.Effect.UNSAFE:
+        self.queues.remove(request)
+        harmless = request.request_class.idempotency is i.Idempotency.SAFE or all(
+            attempt.verdict in NEVER_RAN for attempt in request.attempts
+        )
+        harmless = harmless or (
+            request.request_class.idempotency is i.Idempotency.KEYED
+            and request.request_class.dedup_scope is i.DedupScope.ALL
+        )
+        self.actions.append(
+            i.Refuse(request.id, self._retry_after(request)) if harmless else i.Fail(request.id)
+        )
+
+    def _retry_after(self, request: Request) -> float:
+        """Return the seconds after which a refused request is expected to find a free worker:
+
+            max(queued work * dispatchers / ready workers, latency target) * uniform(0.75, 1.25)
+
+        The queued work runs first, and the other dispatchers are assumed to have as much of it for the same
+        workers. The random factor keeps clients that are refused together from returning together. The result
+        is 0 if this instance is about to stop, because the client can use another dispatcher at once.
+        """
+        ready = max(1, int((self.index.ejected_until < math.inf).sum()) + len(self.standby))
+        work: float = (
+            sum(map(operator.mul, self.mean_run_times, self.queues.slots_by_class))
+            + self.mean_run_times[request.class_index] * request.slots
+        )
+        delay = work * self.settings.dispatchers / ready
+        longest = self.settings.max_retry_after if self.stop_at == math.inf else 0.0
+        return min(max(delay, self.latency_target) * self.rng.uniform(0.75, 1.25), longest)
+
+    def _on_client_left(self, event: i.ClientLeft | i.StreamBegan, now: float) -> None:
+        """Forget a request that needs no further decision."""
+        if request := self.requests.pop(event.request, None):
+            self.queues.remove(request)
+
+    def _check_open_attempts(self, now: float) -> None:
+        """Hedge attempts whose job does not start, and cancel silent ones that can still run elsewhere.
+
+        An attempt is cancelled only if the request may have another attempt that can be in time.
+        """
+        eligible = self._eligible_rows(now) if self.open_attempts and any(self.may_hedge_class) else NO_ROWS
+        for (request_id, number), attempt in list(self.open_attempts.items()):
+            request, age = self.requests.get(request_id), now - attempt.sent_at
+            if (
+                request is None
+                or attempt.migrated
+                or request.request_class.idempotency is i.Idempotency.UNSAFE
+            ):
                 continue
-            late = 0 < SILENT * self.set.progress_every < now - attempt.noted
-            if attempt.started is None:
-                # None while jobs wait anyhow, and one each: many of us would make the jam that copies avoid.
-                quiet = self.wait < self.aim / 2 and len(r.attempts) == 1
-                late = quiet and age > max(r.kind.aim + self.run[r.cls], 3 * self.wait)
-                copy = age > self.aim / 2 and self.copies[r.cls] and len(r.attempts) <= COPIES
-                if copy and (other := self._pick(r, free if quiet else self.index.roomy(free), now)):
-                    self._send(r, other, now)
-                    free = self._free(now)
+            silent = 0 < SILENT_INTERVALS * self.settings.progress_interval < now - attempt.last_news_at
+            if attempt.started_at is None:
+                # While jobs wait in general, and for a second hedged attempt, only workers that report a free
+                # slot are considered, and the attempt does not count as silent. Otherwise the hedged attempts
+                # of many dispatchers would cause the overload that they are meant to avoid.
+                uncongested = self.mean_wait < self.latency_target / 2 and len(request.attempts) == 1
+                silent = uncongested and age > max(
+                    request.request_class.latency_target + self.mean_run_times[request.class_index],
+                    3 * self.mean_wait,
+                )
+                hedge = (
+                    age > self.latency_target / 2
+                    and self.may_hedge_class[request.class_index]
+                    and len(request.attempts) <= MAX_HEDGES
+                )
+                if hedge and (
+                    other := self._pick_worker(
+                        request, eligible if uncongested else self.index.with_free_slots(eligible), now
+                    )
+                ):
+                    self._send(request, other, now)
+                    eligible = self._eligible_rows(now)
                     continue
-                if late and attempt.unused > self.keep / 2:  # silent after a pause: connections die unseen
-                    self.keep, attempt.unused, attempt.started = 0.7 * self.keep, 0.0, now
-                    attempt.worker.unstarted -= 1  # so it does not bar the worker
-                    self._changed(attempt.worker)
-            elif late:
-                self._may_be_long(r, attempt, now)
-            hope = len(r.attempts) < r.most and (now < r.until or r.kind.late_worth)
-            if late and hope and self.set.may_cancel and r.due - now > r.kind.aim:
-                attempt.moved = True
-                self.todo.append(i.Cancel(name, number))
-
-    # Admission: held work, most worth for its work first, and ended when it can earn nothing.
-
-    def _arrival(self, event: i.Arrival, now: float) -> None:
-        kind, slots = self.set.classes[event.cls], max(event.slots, 1.0)
-        due, self.spare = now + event.patience, min(self.spare + SPARE, MOST_SPARE)
-        # Begun later it ends past its aim. Where late is worth nothing a typical run counts, half the mean.
-        run = self.run[event.cls] * (1.0 if kind.late_worth else 0.5)
-        until = min(due - SLACK, now + max(kind.aim + (kind.stretch - 1) * run - self.wait, self.aim / 2))
-        urgency, share = min(due, now + kind.aim), self._share(event.tenant, now)
-        most = self.set.max_attempts if event.most is None else min(event.most, self.set.max_attempts)
-        r = Request(event.request, event.cls, kind, slots, due, until, urgency, share, most)
-        self.requests[event.request] = r
-        if not self.held and (worker := self._pick(r, self._free(now), now)):
-            self._send(r, worker, now)
+                # No news on a connection that was idle for long: it may have died unnoticed, and connections
+                # are trusted for a shorter time from now on.
+                if silent and attempt.connection_idle_time > self.trusted_idle_time / 2:
+                    self.trusted_idle_time, attempt.connection_idle_time, attempt.started_at = (
+                        0.7 * self.trusted_idle_time,
+                        0.0,
+                        now,
+                    )
+                    attempt.worker.unstarted -= 1  # the attempt does not keep the worker ineligible
+                    self._update_index(attempt.worker)
+            elif silent:
+                self._extend_start_by(request, attempt, now)
+            useful = len(request.attempts) < request.max_attempts and (
+                now < request.start_by or request.request_class.late_worth
+            )
+            if (
+                silent
+                and useful
+                and self.settings.may_cancel
+                and request.deadline - now > request.request_class.latency_target
+            ):
+                attempt.migrated = True
+                self.actions.append(i.Cancel(request_id, number))
+
+    # 6. Admission: requests wait in queues. The one with the most worth for its work goes first, and a
+    # request that can earn nothing any more is answered.
+
+    def _on_arrival(self, event: i.Arrival, now: float) -> None:
+        """Send a new request to a worker, or queue it.
+
+        If a late answer is worth nothing, a typical running time decides how long the request may wait; it is
+        half the mean. Otherwise the mean does. A start after `start_by` would miss the latency target.
+        """
+        request_class, slots = self.settings.classes[event.class_index], max(event.slots, 1.0)
+        deadline, self.retry_tokens = (
+            now + event.patience,
+            min(self.retry_tokens + RETRY_TOKENS_PER_REQUEST, MAX_RETRY_TOKENS),
+        )
+        run_time = self.mean_run_times[event.class_index] * (1.0 if request_class.late_worth else 0.5)
+        start_by = min(
+            deadline - ANSWER_MARGIN_S,
+            now
+            + max(
+                request_class.latency_target + (request_class.stretch - 1) * run_time - self.mean_wait,
+                self.latency_target / 2,
+            ),
+        )
+        due_at, worth_factor = (
+            min(deadline, now + request_class.latency_target),
+            self._worth_factor(event.tenant, now),
+        )
+        max_attempts = (
+            self.settings.max_attempts
+            if event.max_attempts is None
+            else min(event.max_attempts, self.settings.max_attempts)
+        )
+        request = Request(
+            event.request,
+            event.class_index,
+            request_class,
+            slots,
+            deadline,
+            start_by,
+            due_at,
+            worth_factor,
+            max_attempts,
+        )
+        self.requests[event.request] = request
+        if not self.queues and (worker := self._pick_worker(request, self._eligible_rows(now), now)):
+            self._send(request, worker, now)
         else:
-            self._hold(r, now)
-
-    def _share(self, tenant: int, now: float) -> float:
-        """What a request's worth counts for: less beyond our part of its tenant's quota."""
-        known = 0 <= tenant < len(self.quotas)  # what is nobody's is beyond every share
-        within = self.quotas[tenant].take(now) if known else not self.quotas
-        return 1.0 if within else self.set.over_share_worth
-
-    def _hold(self, r: Request, now: float) -> None:
-        """Keeps a request here for a free worker, or ends it when there is no sense in that."""
-        # Begun later it can't end in time: it is answered then, so that its client may ask again.
-        last = r.due - SLACK - self.run[r.cls] - self.wait
-        if r.until <= now < last and r.kind.late_worth and not r.late:
-            r.late, r.until, r.share = True, last, r.share * r.kind.late_worth
-        r.until = min(r.until, last)
-        if now >= r.until or self._allowed(r, now) is None:
-            self._answer(r)
+            self._enqueue(request, now)
+
+    def _worth_factor(self, tenant: int, now: float) -> float:
+        """Return the fraction of the worth that a request earns, and count it against its tenant's quota.
+
+        The fraction is below 1 beyond this dispatcher's part of the quota, and for an unknown tenant.
+        """
+        known = 0 <= tenant < len(self.quotas)
+        within_quota = self.quotas[tenant].take(now) if known else not self.quotas
+        return 1.0 if within_quota else self.settings.over_share_worth
+
+    def _enqueue(self, request: Request, now: float) -> None:
+        """Queue a request until a worker is free, or answer it if it can't be served in time.
+
+        A request that could not end before its deadline is answered, so that its client may ask again.
+        """
+        latest_start = (
+            request.deadline - ANSWER_MARGIN_S - self.mean_run_times[request.class_index] - self.mean_wait
+        )
+        if request.start_by <= now < latest_start and request.request_class.late_worth and not request.late:
+            request.late, request.start_by, request.worth_factor = (
+                True,
+                latest_start,
+                request.worth_factor * request.request_class.late_worth,
+            )
+        request.start_by = min(request.start_by, latest_start)
+        if now >= request.start_by or self._allowed_workers(request, now) is None:
+            self._give_final_answer(request)
             return
-        self.held.add(r)
-        self._wake_for_held(now)
-
-    def _wake_for_held(self, now: float) -> None:
-        """One timer, for the first that can't be begun in time any more."""
-        if (end := self.held.first_end()) < self.next_end:
-            self.next_end = end
-            self._wake("held", end - now)
-
-    def _serve(self, now: float) -> None:
-        """Sends what is held to free workers: of two lines the one with more worth for its work first, but
-        room goes past none more than PASSED times in a row. Only the front of each is looked at."""
-        while self.held and len(free := self._free(now)):
-            ranked = sorted(self.held.fronts(), key=self._rank)
-            if late := [r for _, r in ranked if now >= r.until]:  # their timers are about to come
-                for r in late:
-                    self.held.remove(r)
-                    self._hold(r, now)
+        self.queues.add(request)
+        self._set_expiry_timer(now)
+
+    def _set_expiry_timer(self, now: float) -> None:
+        """Set the timer for the earliest `start_by` of the queued requests, unless it is set already."""
+        if (expiry := self.queues.next_expiry()) < self.next_expiry_timer:
+            self.next_expiry_timer = expiry
+            self._set_timer("held", expiry - now)
+
+    def _send_queued(self, now: float) -> None:
+        """Send queued requests to eligible workers, in the order of `_rank`.
+
+        Only the first request of each queue is considered. In a queue of retries it is the first few, because
+        a retry may not be allowed on the eligible workers while the next one is.
+        """
+        while self.queues and len(rows := self._eligible_rows(now)):
+            ranked = sorted(self.queues.heads(), key=self._rank)
+            # Requests past their `start_by`, for which the timer is about to expire.
+            if expired := [request for _, request in ranked if now >= request.start_by]:
+                for request in expired:
+                    self.queues.remove(request)
+                    self._enqueue(request, now)
                 continue
-            for line, front in ranked:
-                # Of those tried before, one may be barred from the workers that are free, the next not.
-                some = line.first(LOOKS) if front.attempts else (front,)
-                picked = ((r, w) for r in some if (w := self._pick(r, free, now)) is not None)
+            for queue, front in ranked:
+                candidates = queue.earliest(MAX_CANDIDATES) if front.attempts else (front,)
+                picked = (
+                    (request, worker)
+                    for request in candidates
+                    if (worker := self._pick_worker(request, rows, now)) is not None
+                )
                 if first := next(picked, None):
-                    self.held.remove(first[0])
+                    self.queues.remove(first[0])
                     self._send(*first, now)
                     break
             else:
                 return
             for other, _ in ranked:
-                other.passed = 0 if other is line else other.passed + 1
-
-    def _rank(self, item: tuple[Line, Request]) -> tuple[bool, float, int]:
-        line, r = item
-        work = r.slots * (1.0 if self.set.worth_by_work else self.run[r.cls])
-        return line.passed < PASSED, -r.kind.worth * r.share / work, r.ticket
-
-    def _wake(self, name: str, after: float) -> None:
-        self.todo.append(i.Wake(name, max(after, 0.001)))
-
-    def _began(self, event: i.Began, now: float) -> None:
-        self._wake("tick", self.tick)
-        self.todo += [i.Subscribe()] if self.set.ask_for_list else []
-
-    def _stopping(self, event: i.Stopping, now: float) -> None:
-        """Every client's time is up when this instance ends."""
-        self.stop_by = now + event.within
-        for name in list(self.requests):
-            self._hurry(i.Hurry(name, event.within), now)
-
-    def _hurry(self, event: i.Hurry, now: float) -> None:
-        """A client's time is up sooner: if it is held, and can't end by then, it is answered."""
-        r = self.requests.get(event.request)
-        if r and r.due > now + event.within:
-            r.due = now + event.within
-            if self.held.remove(r):
-                self._hold(r, now)
-            for attempt in [a for a in r.attempts if a.verdict is None and a.whole]:
-                self._paced(r, attempt, now)
-
-    def _timer(self, event: i.Timer, now: float) -> None:
+                other.skips = 0 if other is queue else other.skips + 1
+
+    def _rank(self, item: tuple[RequestQueue, Request]) -> tuple[bool, float, int]:
+        """Return the sort key of a queue: first those skipped MAX_SKIPS times, then by worth per work."""
+        queue, request = item
+        work = request.slots * (
+            1.0 if self.settings.worth_per_work else self.mean_run_times[request.class_index]
+        )
+        return (
+            queue.skips < MAX_SKIPS,
+            -request.request_class.worth * request.worth_factor / work,
+            request.queue_ticket,
+        )
+
+    def _set_timer(self, name: str, delay: float) -> None:
+        """Set a timer that expires after `delay` seconds, and at least one millisecond."""
+        self.actions.append(i.Wake(name, max(delay, 0.001)))
+
+    def _on_began(self, event: i.Began, now: float) -> None:
+        """Set the first tick, and request the list if it is not pushed."""
+        self._set_timer("tick", self.tick_interval)
+        self.actions += [i.Subscribe()] if self.settings.ask_for_list else []
+
+    def _on_stopping(self, event: i.Stopping, now: float) -> None:
+        """Shorten the deadline of every request to the end of this instance."""
+        self.stop_at = now + event.time_left
+        for request_id in list(self.requests):
+            self._on_hurry(i.Hurry(request_id, event.time_left), now)
+
+    def _on_hurry(self, event: i.Hurry, now: float) -> None:
+        """Shorten the deadline of a request, and answer it if it is queued and can't end by then."""
+        request = self.requests.get(event.request)
+        if request and request.deadline > now + event.time_left:
+            request.deadline = now + event.time_left
+            if self.queues.remove(request):
+                self._enqueue(request, now)
+            for attempt in [
+                other for other in request.attempts if other.verdict is None and other.total_time
+            ]:
+                self._check_pace(request, attempt, now)
+
+    def _on_timer(self, event: i.Timer, now: float) -> None:
+        """Handle a timer by its name."""
         if event.name == "ask":
-            self.todo.append(i.Subscribe())
+            self.actions.append(i.Subscribe())
         elif event.name == "solve":
-            self._go_on()
+            self._continue_solve()
         elif event.name == "admit":
-            self.admitting = False
-            self._admit(now)
-            self._serve(now)
+            self.admit_scheduled = False
+            self._admit_members(now)
+            self._send_queued(now)
         elif event.name == "held":
-            self.next_end = math.inf
-            for r in self.held.over(now):
-                self._hold(r, now)
-            self._wake_for_held(now)
+            self.next_expiry_timer = math.inf
+            for request in self.queues.pop_expired(now):
+                self._enqueue(request, now)
+            self._set_expiry_timer(now)
         elif event.name == "tick":
-            if warm := sum(now >= w.warm_at for w in self.order):  # else the last figure holds
-                rate = self.work_sent / self.tick / warm
-                self.warm_rate += min(1.0, self.tick / 5) * (rate - self.warm_rate)
-            self.work_sent = 0.0
-            self._learn(now)
+            # Without a warm worker the previous rate stays.
+            if warm_workers := sum(now >= worker.warm_at for worker in self.members):
+                rate = self.warm_work_sent / self.tick_interval / warm_workers
+                self.warm_rate += min(1.0, self.tick_interval / 5) * (rate - self.warm_rate)
+            self.warm_work_sent = 0.0
+            self._record_tick(now)
             self._retire_unused(now)
-            self._wake("tick", self.tick)
-        if event.name == "tick" and len(self.out) > AT_ONCE:  # a call of its own
-            self._wake("watch", 0.0)
+            self._set_timer("tick", self.tick_interval)
+        # Many open attempts are checked in a call of their own, to keep this one short.
+        if event.name == "tick" and len(self.open_attempts) > MAX_ITEMS_PER_CALL:
+            self._set_timer("watch", 0.0)
         elif event.name in ("tick", "watch"):
-            self._watch(now)
-            self._serve(now)
-
-    ON: ClassVar[dict[type, Callable[[Any, Any, float], None]]] = {i.Began: _began, i.WorkerList: _list}
-    ON |= {i.Arrival: _arrival, i.ClientLeft: _left, i.Started: _note, i.Progress: _note, i.Timer: _timer}
-    ON |= {i.Hurry: _hurry, i.Outcome: _outcome, i.Stopping: _stopping, i.StreamBegan: _left}
+            self._check_open_attempts(now)
+            self._send_queued(now)
+
+    HANDLERS: ClassVar[dict[type, Callable[[Any, Any, float], None]]] = {
+        i.Began: _on_began,
+        i.WorkerList: _on_worker_list,
+    }
+    HANDLERS |= {
+        i.Arrival: _on_arrival,
+        i.ClientLeft: _on_client_left,
+        i.Started: _on_attempt_news,
+        i.Progress: _on_attempt_news,
+        i.Timer: _on_timer,
+    }
+    HANDLERS |= {
+        i.Hurry: _on_hurry,
+        i.Outcome: _on_outcome,
+        i.Stopping: _on_stopping,
+        i.StreamBegan: _on_client_left,
+    }
--- a/wickgw/cli/serve.py
+++ b/wickgw/cli/serve.py
@@ -47,8 +47,9 @@
     )
     for job_class in settings.classes:
         print(
-            f"class      {job_class.name}: aim {job_class.aim:g} s, deadline {job_class.deadline:g} s, "
-            f"{job_class.effect.value}"
+            f"class      {job_class.name}: aim {job_class.latency_target:g} s, "
+            f"deadline {job_class.deadline:g} s, "
+            f"{job_class.idempotency.value}"
         )
     if operator is not None:
         print(f"log        {operator.log.format}")
--- a/wickgw/config/relay.py
+++ b/wickgw/config/relay.py
@@ -14,9 +14,9 @@
 from typing import Any
 
 from wickgw import interface as i
-from wickgw.facts import read_settings
 from wickgw.net.listen import open_listening_socket, parse_address
-from wickgw.validate import check
+from wickgw.platform_data import read_settings
+from wickgw.validate import check_settings
 
 MIN_DESCRIPTORS = 32
 PASSED_SOCKET_VARIABLE = "RELAY_PASSED_SOCKET"
@@ -82,7 +82,7 @@
         listen_address = parse_address(listen)
         parse_address(discovery)
         settings = read_settings(raw["settings"])
-        check(settings)
+        check_settings(settings)
         seed = raw.get("seed", 0)
         limits = raw.get("limits", {})
         descriptors, memory_mb = limits.get("sockets", 1024), float(limits.get("memory_mb", 192))
--- a/wickgw/emulator/hollow/cost.py
+++ b/wickgw/emulator/hollow/cost.py
@@ -17,9 +17,9 @@
 
     solving_s = 0.0
 
-    def _solve(self, now: float) -> None:
+    def _start_solve(self, now: float) -> None:
         began = time.process_time()
-        super()._solve(now)
+        super()._start_solve(now)
         self.solving_s += time.process_time() - began
 
 
--- a/wickgw/emulator/hollow/dispatcher.py
+++ b/wickgw/emulator/hollow/dispatcher.py
@@ -205,7 +205,7 @@
         job.out[job.attempts] = attempt
         job.attempts += 1
         used = self.connected.get(worker.name, -1e9)
-        open_already = clock.now - used < self.balancer.set.idle_close
+        open_already = clock.now - used < self.balancer.settings.idle_timeout
         self.connected[worker.name] = clock.now
         if not self.fleet.reaches(self, worker):
             if not open_already:
--- a/wickgw/emulator/hollow/fleet.py
+++ b/wickgw/emulator/hollow/fleet.py
@@ -189,12 +189,12 @@
         kind = self.plan.classes[job.cls]
         if job.answer is not AnswerKind.SERVED:
             return 0.0
-        in_time = job.answered - job.came <= kind.aim + kind.stretch * job.work_s
+        in_time = job.answered - job.came <= kind.latency_target + kind.stretch * job.work_s
         return kind.worth * (1.0 if in_time else kind.late_worth)
 
     def _repeated(self) -> int:
         """Jobs of classes that must not be repeated which began more than once, as the workers saw it."""
-        unsafe = {n for n, kind in enumerate(self.plan.classes) if kind.effect is i.Effect.UNSAFE}
+        unsafe = {n for n, kind in enumerate(self.plan.classes) if kind.idempotency is i.Idempotency.UNSAFE}
         names = {job.name for job in self.finished if job.cls in unsafe}
         runs: dict[str, int] = {}
         for worker in self.workers.values():
--- a/wickgw/emulator/hollow/plan.py
+++ b/wickgw/emulator/hollow/plan.py
@@ -71,12 +71,12 @@
             "zone": zone,
             "zones": tuple(f"zone-{n}" for n in range(self.zones)),
             "drain_grace": self.drain_grace_s,
-            "tells_start": True,
+            "reports_start": True,
             "connect_timeout": self.connect_timeout_s,
-            "crossing_fee": self.crossing_fee,
-            "cold_from": self.cold_from,
-            "warm_after": self.warm_after_s,
+            "cross_zone_fee": self.crossing_fee,
+            "initial_capacity": self.cold_from,
+            "warmup_time": self.warm_after_s,
             "max_attempts": 6,
-            "idle_close": 10.0,
+            "idle_timeout": 10.0,
         }
         return i.Settings(**(told | self.settings))  # type: ignore[arg-type]
--- a/wickgw/interface.py
+++ b/wickgw/interface.py
@@ -1,7 +1,8 @@
-"""Settings, events and actions of the balancer: plain frozen data, no logic.
+"""Settings, events and actions of the balancer: plain frozen data without logic.
 
-All times are seconds as floats on the caller's clock, which never goes backwards. The caller carries out
-actions in the order given and at the time of the event that they answer.
+The caller feeds events to `Balancer.handle` and carries out the actions that it returns, in the given order
+and at the time of the event. All times are seconds as floats on the caller's clock, which never goes
+backwards.
 """
 
 from dataclasses import dataclass
@@ -9,15 +10,15 @@
 from typing import ClassVar
 
 
-class Effect(Enum):
-    """What a second run of a request would do."""
+class Idempotency(Enum):
+    """What a second run of a request does."""
 
-    SAFE = "safe"  # nothing: repeat at will
-    KEYED = "keyed"  # dropped by the workers of one group, for a while
-    UNSAFE = "unsafe"  # it takes effect twice
+    SAFE = "safe"  # a second run has no effect: the request may be retried at any time
+    KEYED = "keyed"  # workers of one deduplication scope drop repeats of its key for a limited time
+    UNSAFE = "unsafe"  # the request takes effect twice
 
 
-class Group(Enum):
+class DedupScope(Enum):
     """Which workers drop repeats of a keyed request among themselves."""
 
     ALL = "all"
@@ -29,14 +30,14 @@
     """How an attempt ended."""
 
     OK = "ok"
-    ERROR = "error"  # the worker answered with an error; it may have run
-    UNUSABLE = "unusable"  # the worker says that nobody can use this request; others would say the same
-    FULL = "full"  # turned away unseen; it never ran
-    TIMEOUT = "timeout"  # no answer in time; it may have run or be running
-    CONNECT_FAILED = "connect_failed"  # it never ran
-    RESET = "reset"  # the connection broke; it may have run
-    CANCELLED = "cancelled"  # called off; it may have run
-    NOT_SENT = "moot"  # never sent at all
+    ERROR = "error"  # the worker answered with an error; the job may have run
+    UNUSABLE = "unusable"  # the worker rejects the request itself; other workers would reject it too
+    FULL = "full"  # the worker declined the job without reading it; the job never ran
+    TIMEOUT = "timeout"  # no answer in time; the job may have run or may still be running
+    CONNECT_FAILED = "connect_failed"  # no connection to the worker; the job never ran
+    RESET = "reset"  # the connection broke; the job may have run
+    CANCELLED = "cancelled"  # the attempt was cancelled; the job may have run
+    NOT_SENT = "moot"  # the attempt was never sent
 
 
 class Health(Enum):
@@ -48,65 +49,71 @@
 
 
 class ListKind(Enum):
-    """What a list event carries."""
+    """What a WorkerList event carries."""
 
     UPDATE = "update"  # only the changed entries
-    REPLACE = "replace"  # the whole list; whoever is missing is gone
-    RESTORED = "restored"  # the whole list as last held, perhaps stale
-    UNAVAILABLE = "unavailable"  # a call failed or the subscription broke; the old list holds
+    REPLACE = "replace"  # the whole list; workers that are not in it are gone
+    RESTORED = "restored"  # the whole list as it was last known, which may be stale
+    UNAVAILABLE = "unavailable"  # a call failed or the subscription broke; the previous list stays in force
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests."""
+    """Service level and idempotency of one class of requests.
+
+    An answer earns the full worth if it arrives within `latency_target + stretch * running time` of the
+    request's arrival, and `worth * late_worth` after that until the client's deadline.
+    """
 
     name: str
-    aim: float  # seconds: an answer within aim + stretch x own running time earns full worth
-    deadline: float  # seconds: the client waits no longer
+    latency_target: float  # seconds
+    deadline: float  # seconds that a client waits at most
     worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth earned after the aim and before the deadline
-    stretch: float = 0.0
-    effect: Effect = Effect.SAFE
-    group: Group = Group.ALL
-    window: float = 0.0  # seconds for which a group drops repeats, from the first attempt that may have run
+    late_worth: float = 0.0  # fraction of the worth that a late answer earns
+    stretch: float = 0.0  # multiple of the job's own running time that the target allows in addition
+    idempotency: Idempotency = Idempotency.SAFE
+    dedup_scope: DedupScope = DedupScope.ALL
+    dedup_window: float = (
+        0.0  # seconds in which repeats are dropped, from the first attempt that may have run
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer and its share."""
+    """A customer and its quota."""
 
     name: str
-    quota: float  # requests a second, over all dispatchers, that are worth full
+    quota: float  # requests per second at full worth, summed over all dispatchers
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a dispatcher is told at its start. Impossible values raise ValueError in Balancer()."""
+    """Configuration of one dispatcher. Balancer() raises ValueError if a value is invalid."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    dispatchers: int = 1  # how many there are, this one counted
-    zone: int = 0
-    zones: tuple[str, ...] = ()  # the names of the zones, by their index
-    ask_for_list: bool = False  # the list must be asked for (Subscribe); else it comes unasked
-    ask_within: float = 10.0  # seconds without asking or watching after which what is listed counts as told
-    drain_grace: float = 2.0  # seconds after the news of a drain in which sends may still go there
-    tells_start: bool = False  # workers tell when a job starts
-    progress_every: float = 0.0  # seconds between progress notes; 0: none
-    idle_close: float = 60.0  # seconds after which the caller closes an unused connection
+    dispatchers: int = 1  # dispatchers in the deployment, including this one
+    zone: int = 0  # zone of this dispatcher, as an index into `zones`
+    zones: tuple[str, ...] = ()  # names of the zones
+    ask_for_list: bool = False  # the dispatcher must request the list (Subscribe); else it is pushed
+    ask_within: float = 10.0  # seconds without a call or a watch after which a listed change counts as known
+    drain_grace: float = 2.0  # seconds after the announcement of a drain in which sends are still allowed
+    reports_start: bool = False  # workers report when a job starts
+    progress_interval: float = 0.0  # seconds between progress reports; 0: workers send none
+    idle_timeout: float = 60.0  # seconds after which the caller closes an unused connection
     connect_timeout: float = 0.25  # seconds after which the caller gives up opening a connection
-    advise: bool = False  # the simulator's clients hear Refuse.after
-    most_after: float = 2.0  # seconds of Refuse.after that clients heed at most
-    max_attempts: int = 4  # for one request
-    may_cancel: bool = True
-    may_copy: bool = True  # two attempts of one request may be out together
-    handshake_fee: float = 0.0  # price of a new connection, as a share of the mean worth of a request
-    crossing_fee: float = 0.0  # price of an attempt to another zone, in the same way
-    over_share_worth: float = 1.0  # worth of a request beyond its tenant's quota, as a share
-    free_slots: str = ""  # the field of load reports that says how many slots are free, if there are reports
-    worth_by_work: bool = False  # worth is counted for each unit of work, and not for each request
-    cold_from: float = 1.0  # a started worker's first capacity, as a share of the full one
-    warm_after: float = 0.0  # seconds until it is warm at the latest
+    advise_retry_after: bool = False  # the simulator passes Refuse.retry_after on to its clients
+    max_retry_after: float = 2.0  # longest Refuse.retry_after in seconds that clients follow
+    max_attempts: int = 4  # attempts per request
+    may_cancel: bool = True  # attempts may be cancelled
+    may_hedge: bool = True  # two attempts of one request may be open at the same time
+    handshake_fee: float = 0.0  # cost of a new connection, as a fraction of the mean worth of a request
+    cross_zone_fee: float = 0.0  # cost of an attempt in another zone, in the same unit
+    over_share_worth: float = 1.0  # fraction of the worth that a request beyond its tenant's quota earns
+    free_slots_field: str = ""  # field of load reports with the number of free slots; empty: no reports
+    worth_per_work: bool = False  # worth counts per unit of work instead of per request
+    initial_capacity: float = 1.0  # capacity of a cold worker at its start, as a fraction of the full one
+    warmup_time: float = 0.0  # seconds after its start at which a worker is warm at the latest
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,18 +124,18 @@
     health: Health = Health.READY
     zone: int = 0
     cell: int = 0
-    since: float | None = None  # clock time of its last start; None: long ago
-    kind: str = ""  # of machine
+    since: float | None = None  # clock time of the last start; None: long ago
+    machine_type: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Began:
-    """The instance may act now. The first event of a life."""
+    """The instance starts and may act. This is the first event of an instance."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerList:
-    """News of the list of workers."""
+    """A change of the list of workers."""
 
     kind: ListKind
     entries: tuple[Entry, ...] = ()
@@ -136,44 +143,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A client's request. The caller never uses an id twice."""
+    """A client's request. The caller never reuses a request id."""
 
     request: str
-    cls: int  # index into Settings.classes
-    patience: float  # seconds until the client gives this try up
-    tenant: int = 0  # index into Settings.tenants; any other: nobody's, where there are tenants
+    class_index: int  # index into Settings.classes
+    patience: float  # seconds until the client gives up
+    tenant: int = 0  # index into Settings.tenants; any other value: no known tenant
     slots: float = 1.0
-    most: int | None = None  # attempts, if fewer than Settings.max_attempts
+    max_attempts: int | None = None  # None: Settings.max_attempts, which is also the upper bound
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLeft:
-    """The request is over; nothing is owed any more."""
+    """The client of a request has gone; the request needs no answer."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """A worker has begun an attempt."""
+    """A worker started the job of an attempt."""
 
     request: str
     attempt: int
-    share: ClassVar[float] = 0.0  # nothing of it is done
+    fraction_done: ClassVar[float] = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """A worker is still at an attempt."""
+    """A worker reports that the job of an attempt is still running."""
 
     request: str
     attempt: int
-    share: float = 0.0  # of the job that is done; 0: not told
+    fraction_done: float = 0.0  # 0: not reported
 
 
 @dataclass(frozen=True, slots=True)
 class StreamBegan:
-    """The answer has begun; the attempt is the client's now and no deadline runs."""
+    """The response has started to reach the client; no deadline applies to the request from now on."""
 
     request: str
     attempt: int
@@ -181,33 +188,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The one end of an attempt."""
+    """The end of an attempt. Each attempt has exactly one."""
 
     request: str
     attempt: int
     verdict: Verdict
-    over: bool = False  # the request has had its final answer
-    free: float | None = None  # free slots at the worker, where a load report that came with it says so
+    answered: bool = False  # the request has its final answer
+    free: float | None = None  # free slots at the worker, if a load report came with the outcome
 
 
 @dataclass(frozen=True, slots=True)
 class Hurry:
-    """A request's client gets no answer after so many seconds, though it said that it would wait longer."""
+    """The client of a request gets no answer after `time_left` seconds, although its patience is longer."""
 
     request: str
-    within: float
+    time_left: float
 
 
 @dataclass(frozen=True, slots=True)
 class Stopping:
-    """The instance ends in so many seconds, and no client gets an answer after that."""
+    """The instance ends after `time_left` seconds; no client gets an answer after that."""
 
-    within: float
+    time_left: float
 
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """A Wake has come due."""
+    """A timer that was set by Wake has expired."""
 
     name: str
 
@@ -229,7 +236,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start the request's next attempt (they count 0, 1, 2 ... in order of Send)."""
+    """Start the next attempt of a request. Attempts are numbered 0, 1, 2, ... in the order of Send."""
 
     request: str
     worker: str
@@ -238,7 +245,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for an attempt; its Outcome still comes."""
+    """Cancel an attempt. Its Outcome still follows."""
 
     request: str
     attempt: int
@@ -246,37 +253,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Close:
-    """Close the unused connections to a worker; later sends open new ones."""
+    """Close the unused connections to a worker, so that later sends open new ones."""
 
     worker: str
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: not done, and trying again does no harm."""
+    """Final answer: the request was not served, and a retry by the client does no harm."""
 
     request: str
-    after: float = 0.0  # seconds until another try is thought to find room; 0: no advice
+    retry_after: float = 0.0  # seconds after which a retry is expected to find a free worker; 0: no advice
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, nothing promised."""
+    """Final answer: the request failed, and it may have taken effect."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Wake:
-    """Bring a Timer of this name after so many seconds, not before the next event."""
+    """Set a timer: feed Timer(name) after `delay` seconds, not before the next event."""
 
     name: str
-    after: float
+    delay: float
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for the list and its changes from now on; one WorkerList answers."""
+    """Request the list and its changes from now on. The answer is a WorkerList event."""
 
 
 Action = Send | Cancel | Close | Refuse | Fail | Wake | Subscribe
--- a/wickgw/net/dispatch.py
+++ b/wickgw/net/dispatch.py
@@ -231,7 +231,7 @@
         worker = pending.open_attempts.pop(number)
         if verdict is i.Verdict.OK:
             self._answer(pending, Answer(AnswerKind.SERVED, result))
-        self._enqueue(i.Outcome(request_id, number, verdict, over=pending.client is None, free=free))
+        self._enqueue(i.Outcome(request_id, number, verdict, answered=pending.client is None, free=free))
         if self.on_attempt_ended is not None:
             self.on_attempt_ended(worker, verdict)
         self._cancel_unsent(pending)
--- a/wickgw/net/pool_server.py
+++ b/wickgw/net/pool_server.py
@@ -54,7 +54,7 @@
             settings = sizing.settings_for_subset(settings, subset.size.dispatchers_per_worker)
             self.subset = subset_driver.SubsetDriver(subset, loop, clock, self._apply)
         self.connections = WorkerConnections(
-            loop, sockets, settings.connect_timeout, settings.idle_close, settings.free_slots
+            loop, sockets, settings.connect_timeout, settings.idle_timeout, settings.free_slots_field
         )
         balancer = Balancer(settings, config.seed + zlib.crc32(name.encode()))  # crc32 of "" is 0
         self.dispatcher = self.connections.dispatcher = Dispatcher(balancer, loop, clock, self.connections)
@@ -168,7 +168,7 @@
         """Return the counters and the current values of this pool."""
         ready, draining = self.worker_counts
         current = {"owed": self.dispatcher.unanswered, "ready": ready, "draining": draining}
-        current |= {"members": len(self.dispatcher.balancer.order)}
+        current |= {"members": len(self.dispatcher.balancer.members)}
         current |= {
             "tries_out": len(self.connections.attempts),
             "peer_connections": len(self.connections.connections),
@@ -214,6 +214,11 @@
     previous = target.entry
     return target._replace(
         entry=i.Entry(
-            previous.worker, i.Health.GONE, previous.zone, previous.cell, previous.since, previous.kind
+            previous.worker,
+            i.Health.GONE,
+            previous.zone,
+            previous.cell,
+            previous.since,
+            previous.machine_type,
         )
     )
--- a/wickgw/net/pools.py
+++ b/wickgw/net/pools.py
@@ -232,7 +232,7 @@
             "tries_out": sum(len(each.connections.attempts) for each in servers),
             "peer_connections": sum(len(each.connections.connections) for each in servers),
             "peers": len({worker for each in servers for worker in each.connections.endpoints}),
-            "members": sum(len(each.dispatcher.balancer.order) for each in servers),
+            "members": sum(len(each.dispatcher.balancer.members) for each in servers),
             "peak_memory_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024 / 1e6, 1),
             "peer_connections_opened": sum(each.connections.opened_count for each in servers),
             "max_stall_ms": round(max(each.dispatcher.max_stall_s for each in servers) * 1000, 1),
--- a/wickgw/net/watch_timing.py
+++ b/wickgw/net/watch_timing.py
@@ -61,7 +61,9 @@
         self.connect_timeout = CONNECT_TIMEOUT_S
         self.first_answer_timeout = float("inf")
         if self.is_pushed:
-            self._set_push_timeouts(grace, min(request_class.aim for request_class in settings.classes))
+            self._set_push_timeouts(
+                grace, min(request_class.latency_target for request_class in settings.classes)
+            )
         else:
             self._set_polling_timeouts(grace, settings.ask_within)
 
--- a/wickgw/net/worker_connection.py
+++ b/wickgw/net/worker_connection.py
@@ -11,13 +11,13 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from wickgw import interface as i
-from wickgw.facts import read_load, read_share
 from wickgw.net import http
 from wickgw.net.attempt import Attempt
 from wickgw.net.job_events import FINAL_VERDICTS, read_event
 from wickgw.net.listen import parse_address
 from wickgw.net.sockets import Connection
 from wickgw.observe import get_logger
+from wickgw.platform_data import read_fraction_done, read_free_slots
 
 if TYPE_CHECKING:
     from wickgw.net.worker_connections import WorkerConnections
@@ -213,13 +213,13 @@
         if self.final_result is not None:
             raise ValueError("job event after the last one")
         event = read_event(line, attempt.pending.id)
-        attempt.free_slots = read_load(event.load, self.owner.free_slots_field)
+        attempt.free_slots = read_free_slots(event.load, self.owner.free_slots_field)
         dispatcher, request_id, number = self.owner.dispatcher, attempt.pending.id, attempt.number
         match event.state:
             case "started":
                 dispatcher.attempt_started(request_id, number)
             case "running":
-                dispatcher.attempt_progressed(request_id, number, read_share(event.share))
+                dispatcher.attempt_progressed(request_id, number, read_fraction_done(event.share))
             case "done":
                 self.final_result = AttemptResult(i.Verdict.OK, (event.result or "").encode())
             case state if state in FINAL_VERDICTS:
--- a/wickgw/net/worker_connections.py
+++ b/wickgw/net/worker_connections.py
@@ -11,12 +11,12 @@
 import msgspec
 
 from wickgw import interface as i
-from wickgw.facts import read_load
 from wickgw.net import http
 from wickgw.net.attempt import Attempt
 from wickgw.net.dispatch import Dispatcher, PendingRequest
 from wickgw.net.sockets import Sockets
 from wickgw.net.worker_connection import WorkerConnection, WorkerEndpoint
+from wickgw.platform_data import read_free_slots
 
 IDLE_TIMEOUT_SHARE = 0.9  # share of the settings' idle time after which this side closes a connection
 SWEEP_INTERVAL_S = 0.25  # between checks of the idle connections
@@ -53,7 +53,7 @@
         """Return the free slots in the load report of an answer, or None without a valid report."""
         report = head.headers.get("srv-load") if self.free_slots_field else None
         try:
-            return read_load(msgspec.json.decode(report), self.free_slots_field) if report else None
+            return read_free_slots(msgspec.json.decode(report), self.free_slots_field) if report else None
         except (msgspec.MsgspecError, UnicodeError, RecursionError):
             return None
 
--- a/wickgw/routing/check.py
+++ b/wickgw/routing/check.py
@@ -277,7 +277,9 @@
     ]
     selected: set[str] = set()
     for seed in range(SEEDS):
-        settings = i.Settings(classes=(i.RequestClass("any", aim=0.1, deadline=1.0),), zones=tuple(zones))
+        settings = i.Settings(
+            classes=(i.RequestClass("any", latency_target=0.1, deadline=1.0),), zones=tuple(zones)
+        )
         balancer = Balancer(settings, seed)
         balancer.handle(i.Began(), 0.0)
         balancer.handle(i.WorkerList(i.ListKind.REPLACE, tuple(listed)), 0.0)
--- a/wickgw/standby.py
+++ b/wickgw/standby.py
@@ -1,11 +1,12 @@
-"""Listed workers for which the balancer keeps no learned state.
+"""The standby: listed workers for which the balancer keeps no learned state.
 
-What the balancer learns costs memory with the square of the workers that it covers, and time with the cube.
-So only a bounded number of workers, its members, have learned state; any other that is listed as ready costs
-its entry alone. Fleets of up to `MEMBERS` workers have no standby: all of them are members.
+Learned state takes memory that grows with the square of the number of workers, and computation that grows
+with its cube. Therefore only a bounded number of workers, the members, have learned state. Any other worker
+that is listed as ready is on standby and takes only its entry. A fleet of up to `BASE_MEMBERS` workers has no
+standby: all of them are members.
 
-Which workers become members is drawn at random: dispatchers that drew alike would load the same few workers.
-No I/O, no clock; all randomness is the caller's generator's.
+New members are drawn at random, because dispatchers that made the same choice would load the same few
+workers. The module does no I/O and reads no clock; the caller provides the random generator.
 """
 
 import random
@@ -14,66 +15,70 @@
 
 from wickgw import interface as i
 
-MEMBERS = 256  # as long as some of them are free
-MEMBERS_AN_ATTEMPT = 4  # beyond `MEMBERS`, for each attempt that is out, when no member is free
-MEMBERS_A_STEP = 16  # by which the bound rises at a time
-MOST_LEARNED = 512  # rows of learned state; members beyond that go by the pooled estimate
-ADMITTED_AT_ONCE = 64  # new members in one call: about a millisecond
-HOME_SHARE = 0.5  # of the members, where workers of other zones cost more
+BASE_MEMBERS = 256  # bound as long as some members are eligible
+EXTRA_MEMBERS_PER_ATTEMPT = 4  # beyond `BASE_MEMBERS`, per open attempt, when no member is eligible
+EXTRA_MEMBERS_PER_STEP = 16  # increase of the bound at a time
+MAX_LEARNED_WORKERS = 512  # rows of learned state; members beyond that use the pooled estimate
+MAX_ADMITTED_PER_CALL = 64  # new members in one call, which takes about a millisecond
+HOME_ZONE_SHARE = 0.5  # share of the home zone in the members, where workers of other zones cost more
 
 
 class Standby:
     """Ready workers that are not members, in the order in which they were listed."""
 
     def __init__(self, home_zone: int | None) -> None:
-        """`home_zone`: whose workers are preferred; None: all zones are alike."""
+        """`home_zone`: the zone whose workers are preferred; None: no zone is."""
         self.home_zone = home_zone
         self._entries: dict[str, i.Entry] = {}
 
     def __len__(self) -> int:
-        """How many they are."""
+        """Number of workers on standby."""
         return len(self._entries)
 
     def __iter__(self) -> Iterator[str]:
-        """Their names."""
+        """Iterate over the names of the workers."""
         return iter(self._entries)
 
     def __contains__(self, worker: str) -> bool:
-        """Whether a worker is one of them."""
+        """Whether a worker is on standby."""
         return worker in self._entries
 
     def add(self, entry: i.Entry) -> None:
-        """A worker is listed as ready, perhaps anew."""
+        """Add a worker that is listed as ready, or replace its entry."""
         self._entries[entry.worker] = entry
 
     def discard(self, worker: str) -> None:
-        """A worker is not ready, not listed, or a member now."""
+        """Remove a worker, if it is on standby."""
         self._entries.pop(worker, None)
 
     def keep_only(self, listed: set[str]) -> None:
-        """All that are not named have left the list."""
+        """Remove all workers that are not in `listed`."""
         for worker in self._entries.keys() - listed:
             del self._entries[worker]
 
     def take(self, count: int, room: int, home_members: int, rng: random.Random) -> list[i.Entry]:
-        """Up to `count` workers that become members now, while there is room for `room`.
+        """Remove and return up to `count` workers that become members.
 
-        If all fit they go in the order of the list. Otherwise they are drawn at random, with those of the
-        home zone preferred until they are `HOME_SHARE` of `MEMBERS`."""
+        `room` is the number of members that are still admitted, now or in later calls. If the standby fits
+        into it, the workers are taken in the order of the list. Otherwise they are drawn at random, first
+        from the home zone until it has `HOME_ZONE_SHARE` of `BASE_MEMBERS`, and then from all zones.
+        `home_members` is the number of members that the home zone has already.
+        """
         if len(self._entries) <= room:
-            return self._taken(list(islice(self._entries.values(), count)))
-        wanted = max(0, int(MEMBERS * HOME_SHARE) - home_members)
-        home = [e for e in self._entries.values() if e.zone == self.home_zone]
+            return self._remove_entries(list(islice(self._entries.values(), count)))
+        wanted = max(0, int(BASE_MEMBERS * HOME_ZONE_SHARE) - home_members)
+        home = [entry for entry in self._entries.values() if entry.zone == self.home_zone]
         drawn = rng.sample(home, min(count, wanted, len(home)))
-        self._taken(drawn)
+        self._remove_entries(drawn)
         rest = list(self._entries.values())
-        return drawn + self._taken(rng.sample(rest, min(count - len(drawn), len(rest))))
+        return drawn + self._remove_entries(rng.sample(rest, min(count - len(drawn), len(rest))))
 
-    def take_mates(self, count: int, fits: Callable[[i.Entry], bool]) -> list[i.Entry]:
-        """Up to `count` workers for which `fits` holds, that become members now."""
-        return self._taken(list(islice(filter(fits, self._entries.values()), count)))
+    def take_matching(self, count: int, fits: Callable[[i.Entry], bool]) -> list[i.Entry]:
+        """Remove and return up to `count` workers that become members, the first for which `fits` is true."""
+        return self._remove_entries(list(islice(filter(fits, self._entries.values()), count)))
 
-    def _taken(self, entries: list[i.Entry]) -> list[i.Entry]:
+    def _remove_entries(self, entries: list[i.Entry]) -> list[i.Entry]:
+        """Remove the entries from the standby and return them."""
         for entry in entries:
             del self._entries[entry.worker]
         return entries
--- a/wickgw/start.py
+++ b/wickgw/start.py
@@ -1,9 +1,10 @@
-"""The first moments of a serving process: what it reads, where it listens, and what it loads after that.
+"""Start of a serving process: reads the configuration, opens the listening sockets and loads the rest.
 
-A fleet's release starts hundreds of processes in one second, so the order is: read the configuration, listen,
-let the loop wait once, and only then load the decisions, their numerics and the log. Connections that come in
-between wait in the system's queue; `/-/ready` is answered once a list is held. Owns the listening sockets and
-the signals until the node has them. It must never load what serving without an operator's file does not need.
+A release of a fleet starts hundreds of processes within one second. Therefore the order is: read the
+configuration, listen, yield to the event loop once, and only then load the balancer, numpy and the log.
+Connections that arrive in the meantime wait in the kernel's accept queue; `/-/ready` reports readiness once a
+list of workers is held. This module owns the listening sockets and the signal handlers until the node takes
+them over. It imports only what serving without an operator's file needs.
 """
 
 import asyncio
@@ -28,14 +29,17 @@
 if TYPE_CHECKING:
     from wickgw.config.schema import OperatorConfig
 
-TURN = 0.001  # seconds that the loop waits between the parts of a start
-EARLY = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
+YIELD_S = 0.001  # pause between the phases of a start, in which other processes run
+EARLY_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
 
-def options(told: Sequence[str]) -> tuple[Path | None, bool] | None:
-    """The options of `serve`, if they are only what it takes when it is given them right: the operator's file
-    and whether to log more. Any other wording is the command line's to explain."""
-    ini, verbose, rest = os.environ.get("WICKGW_INI") or None, False, list(told)
+def parse_serve_options(arguments: Sequence[str]) -> tuple[Path | None, bool] | None:
+    """Parse the options of `serve`.
+
+    Returns the operator's file and whether to log more, or None if the options are not valid; the
+    command-line library then parses them again and explains the error.
+    """
+    ini, verbose, rest = os.environ.get("WICKGW_INI") or None, False, list(arguments)
     while rest:
         word = rest.pop(0)
         if word in ("-v", "--verbose"):
@@ -50,20 +54,24 @@
 
 
 def serve(ini: Path | None, verbose: bool) -> int:
-    """Serve as one dispatcher until told to end; returns the exit status: 2, with one line that says why, for
-    a configuration that can't be used."""
-    early: list[int] = []
-    for number in EARLY:  # unhandled they would end the process, and HUP never may
-        signal.signal(number, lambda told, _: early.append(told))
-    gc.disable()  # what is loaded stays: looking through it again and again takes a tenth of the start
+    """Run one dispatcher until a signal ends it, and return the exit status.
+
+    The status is 2 if the configuration is invalid; one line on standard error gives the reason.
+    """
+    early_signals: list[int] = []
+    # Without a handler these signals end the process, which SIGHUP must not do at any time.
+    for number in EARLY_SIGNALS:
+        signal.signal(number, lambda received, _: early_signals.append(received))
+    # Loaded modules stay in memory; collecting garbage among them repeatedly takes a tenth of the start.
+    gc.disable()
     try:
         config, operator = read_config(os.environ), read_ini(ini)
         if operator is not None:
             from wickgw.node import check_routes
 
             check_routes(operator)
-        opened = open_sockets(config)
-        asyncio.run(_serve(config, operator, ConfigSources(os.environ, ini, verbose), opened, early))
+        sockets = open_sockets(config)
+        asyncio.run(_serve(config, operator, ConfigSources(os.environ, ini, verbose), sockets, early_signals))
     except ConfigError as error:
         print(f"wickgw: {error}", file=sys.stderr)
         return 2
@@ -74,19 +82,21 @@
     config: Config,
     operator: "OperatorConfig | None",
     sources: ConfigSources,
-    opened: ListeningSockets,
-    early: list[int],
+    sockets: ListeningSockets,
+    early_signals: list[int],
 ) -> None:
-    # Others that start beside this one get their turn before each large part: hundreds on a few cores would
-    # each go without one for the whole of all their starts.
-    await asyncio.sleep(TURN)
-    # Its threads, if it has any, must take no signals: the process's last moments hold off this one's only.
-    held = signal.pthread_sigmask(signal.SIG_BLOCK, EARLY)
+    """Load numpy and the node in phases, and run the node."""
+    # Hundreds of processes may start on a few cores at the same time. The pause before each large import
+    # lets the others run, which would otherwise be blocked for the whole duration of all the starts.
+    await asyncio.sleep(YIELD_S)
+    # Threads inherit the signal mask. Signals must reach the main thread only, because the shutdown code
+    # blocks them in that thread alone.
+    previous_mask = signal.pthread_sigmask(signal.SIG_BLOCK, EARLY_SIGNALS)
     import numpy  # noqa: F401
 
-    signal.pthread_sigmask(signal.SIG_SETMASK, held)
-    await asyncio.sleep(TURN)
+    signal.pthread_sigmask(signal.SIG_SETMASK, previous_mask)
+    await asyncio.sleep(YIELD_S)
     from wickgw.node import run
 
-    await asyncio.sleep(TURN)
-    await run(config, operator, sources, opened, early)
+    await asyncio.sleep(YIELD_S)
+    await run(config, operator, sources, sockets, early_signals)
--- a/wickgw/subsetting/subset.py
+++ b/wickgw/subsetting/subset.py
@@ -191,10 +191,10 @@
         entry = worker.listed.entry
         if entry.health is not i.Health.READY or worker.failures >= MAX_CONSECUTIVE_FAILURES:
             return 0.0
-        if entry.since is None or self.settings.warm_after <= 0:
+        if entry.since is None or self.settings.warmup_time <= 0:
             return 1.0
-        age = max(0.0, now - entry.since) / self.settings.warm_after
-        return min(1.0, self.settings.cold_from + (1 - self.settings.cold_from) * age)
+        age = max(0.0, now - entry.since) / self.settings.warmup_time
+        return min(1.0, self.settings.initial_capacity + (1 - self.settings.initial_capacity) * age)
 
     def fair_share(self) -> int:
         """Return the mean number of ready workers in a subset, rounded up."""
--- a/wickgw/validate.py
+++ b/wickgw/validate.py
@@ -1,31 +1,37 @@
-"""Refuses impossible settings by name, before a balancer starts on them."""
+"""Validation of settings before a balancer starts with them."""
 
 import math
 
 from wickgw import interface as i
 
 
-def check(settings: i.Settings) -> None:
-    """Raise ValueError naming the first field that cannot be."""
+def check_settings(settings: i.Settings) -> None:
+    """Check that each setting is within its range.
+
+    Raises:
+        ValueError: a setting is out of range; the message names the first such field.
+    """
     s = settings
-    wrong = {
+    out_of_range = {
         "classes": not s.classes,
-        "classes.aim": any(not 0 < c.aim < math.inf for c in s.classes),
-        "classes.deadline": any(not 0 < c.deadline < math.inf for c in s.classes),
-        "classes.window": any(not c.window >= 0 for c in s.classes),
-        "classes.worth": any(not 0 <= c.worth < math.inf for c in s.classes),
-        "tenants.quota": any(not t.quota >= 0 for t in s.tenants),
+        "classes.latency_target": any(
+            not 0 < request_class.latency_target < math.inf for request_class in s.classes
+        ),
+        "classes.deadline": any(not 0 < request_class.deadline < math.inf for request_class in s.classes),
+        "classes.dedup_window": any(not request_class.dedup_window >= 0 for request_class in s.classes),
+        "classes.worth": any(not 0 <= request_class.worth < math.inf for request_class in s.classes),
+        "tenants.quota": any(not tenant.quota >= 0 for tenant in s.tenants),
         "dispatchers": s.dispatchers < 1,
         "ask_within": not s.ask_within > 0,
         "drain_grace": not s.drain_grace >= 0,
         "max_attempts": s.max_attempts < 1,
-        "idle_close": not s.idle_close > 0,
-        "progress_every": not s.progress_every >= 0,
-        "cold_from": not 0 < s.cold_from <= 1,
+        "idle_timeout": not s.idle_timeout > 0,
+        "progress_interval": not s.progress_interval >= 0,
+        "initial_capacity": not 0 < s.initial_capacity <= 1,
         "connect_timeout": not 0 < s.connect_timeout < math.inf,
-        "most_after": not s.most_after >= 0,
-        "warm_after": not s.warm_after >= 0,
+        "max_retry_after": not s.max_retry_after >= 0,
+        "warmup_time": not s.warmup_time >= 0,
     }
-    for name, bad in wrong.items():
-        if bad:
-            raise ValueError(f"impossible setting: {name}")
+    for name, invalid in out_of_range.items():
+        if invalid:
+            raise ValueError(f"invalid setting: {name}")
--- a/wickgw/version.py
+++ b/wickgw/version.py
@@ -1,3 +1,3 @@
-"""The version, alone, so that whoever asks imports nothing else."""
+"""The version of the package, in a module without imports."""
 
 VERSION = "0.2.0"
