--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: each a command that writes its figures beside it."""
+"""Benchmarks. Each module is a command that writes its results beside itself."""
--- a/benchmarks/address.py
+++ b/benchmarks/address.py
@@ -1,8 +1,9 @@
-"""Moving service addresses on real processes: `python -m benchmarks.address [--quick]`.
+"""Benchmark of moving service addresses with real processes: `python -m benchmarks.address [--quick]`.
 
-Three dispatchers, a relay between them, a client that asks all the time. Kills (SIGKILL), stalls (SIGSTOP for
-80 ms and 3 s), splits, planned moves with jobs in hand; then the cost at rest for 3 and 7. Writes
-benchmarks/address.md. Loopback only; it ends by itself.
+Runs three dispatchers with a datagram relay between them and a client that polls the address all the time.
+Faults are kills (SIGKILL), stalls (SIGSTOP for 80 ms and for 3 s) and network splits. Planned moves happen
+while jobs are open. The cost of idle instances is measured for groups of 3 and 7. Writes
+benchmarks/address.md. Uses loopback only and ends by itself.
 """
 
 import functools
@@ -21,111 +22,141 @@
 import typer
 from rich.progress import track
 
-from wickgw.emulator.group import ADDRESS, Instances
-from wickgw.emulator.probe import Probe
+from wickgw.emulator.dispatcher_processes import ADDRESS_NAME, DispatcherProcesses
+from wickgw.emulator.probe import AddressProbe
 
-TABLE = Path(__file__).with_suffix(".md")
-HELD_ON = 1.3  # seconds that a split lasts after the address is back, so that a second holder would be seen
+TABLE_FILE = Path(__file__).with_suffix(".md")
+REPAIR_DELAY_S = 1.3  # from the return of the address to the repair, so that a second holder would be visible
 
 
-class Figures:
-    """What a kind of fault came to, over its repetitions."""
+class FaultResults:
+    """Outages and overlaps of one kind of fault, over its repetitions, in seconds."""
 
     def __init__(self, kind: str) -> None:
-        self.kind, self.away, self.overlap = kind, list[float](), list[float]()
+        self.kind, self.outages_s, self.overlaps_s = kind, list[float](), list[float]()
 
     def row(self) -> str:
-        """A line of the table."""
-        worst = max(self.overlap) * 1000
-        times = f"{statistics.median(self.away):.3f} | {max(self.away):.3f}"
-        return f"| {self.kind} | {len(self.away)} | {times} | {worst:.1f} |"
+        """Return the line of the table."""
+        longest_overlap_ms = max(self.overlaps_s) * 1000
+        times = f"{statistics.median(self.outages_s):.3f} | {max(self.outages_s):.3f}"
+        return f"| {self.kind} | {len(self.outages_s)} | {times} | {longest_overlap_ms:.1f} |"
 
 
-def play(
-    instances: Instances,
-    figures: Figures,
+def inject_fault(
+    instances: DispatcherProcesses,
+    results: FaultResults,
     times: int,
     fault: Callable[[str], None],
-    mend: Callable[[str], None],
+    repair: Callable[[str], None],
 ) -> None:
-    """Let a fault befall the holder again and again."""
-    for _ in track(range(times), description=figures.kind):
-        holder = instances.settled(20)
-        probe = Probe(instances.service, ADDRESS)
+    """Inject a fault at the holder several times, and add what the probe observed to `results`.
+
+    Args:
+        instances: The dispatchers.
+        results: Where outages and overlaps are added.
+        times: Number of repetitions.
+        fault: Injects the fault at the named instance.
+        repair: Ends the fault.
+    """
+    for _ in track(range(times), description=results.kind):
+        holder = instances.wait_until_settled(20)
+        probe = AddressProbe(instances.service_address, ADDRESS_NAME)
         try:
-            probe.wait_for(holder, time.monotonic())
+            probe.wait_for_answer(holder, time.monotonic())
             start = time.monotonic()
             fault(holder)
-            back = probe.wait_for(None, start, but="" if "80 ms" in figures.kind else holder)
+            back = probe.wait_for_answer(None, start, excluding="" if "80 ms" in results.kind else holder)
             pause = threading.Event()
-            pause.wait(HELD_ON)
-            mend(holder)
+            pause.wait(REPAIR_DELAY_S)
+            repair(holder)
             pause.wait(0.3)
-            figures.away.append(probe.away(start - 0.05, max(back.answered + 0.05, start + 0.2)))
-            figures.overlap.append(probe.overlap())
+            results.outages_s.append(
+                probe.longest_outage_s(start - 0.05, max(back.answered_at + 0.05, start + 0.2))
+            )
+            results.overlaps_s.append(probe.longest_overlap_s())
         finally:
             probe.close()
 
 
-class Jobs:
-    """Clients that hand in jobs on kept connections, and once more on a new one if a connection is closed
-    before anything of an answer has come, as the platform's protocol has it."""
+class JobClients:
+    """Clients that send jobs on kept connections, each in a thread.
 
-    def __init__(self, where: tuple[str, int], clients: int) -> None:
-        self.where, self.answers, self.lost = where, list[tuple[float, int]](), list[str]()
-        self.again = 0
-        self._ends = threading.Event()
+    If a connection closes before any part of an answer has arrived, a client sends the job again on a new
+    connection, as the platform's protocol provides. `answers` has the time and the status of each answer, `lost`
+    the ids of jobs without an answer, and `resent` counts the jobs sent again.
+
+    Args:
+        service_address: Host and port of the service address.
+        clients: Number of clients.
+    """
+
+    def __init__(self, service_address: tuple[str, int], clients: int) -> None:
+        self.service_address, self.answers, self.lost = (
+            service_address,
+            list[tuple[float, int]](),
+            list[str](),
+        )
+        self.resent = 0
+        self._closing = threading.Event()
         self._threads = [threading.Thread(target=self._run, args=(n,), daemon=True) for n in range(clients)]
         for thread in self._threads:
             thread.start()
 
     def _run(self, number: int) -> None:
         connection, serial = None, 0
-        while not self._ends.is_set():
+        while not self._closing.is_set():
             serial += 1
-            for turn in range(100):  # a refused connection is tried again: the address is on its way
-                name = f"{number}-{serial}-{turn}"
+            for resend in range(100):  # connections are refused while the address moves
+                request = f"{number}-{serial}-{resend}"
                 try:
                     if connection is None:
-                        connection = http.client.HTTPConnection(*self.where, timeout=4)
-                    fields = {"Req-Id": name, "Req-Deadline-Ms": "2500"}
+                        connection = http.client.HTTPConnection(*self.service_address, timeout=4)
+                    fields = {"Req-Id": request, "Req-Deadline-Ms": "2500"}
                     connection.request("POST", "/look", body=b"", headers=fields)
                     answer = connection.getresponse()
                     answer.read()
                     self.answers.append((time.monotonic(), answer.status))
                     break
                 except TimeoutError:
-                    self.lost.append(name)
+                    self.lost.append(request)
                     connection = None
                     break
                 except (OSError, http.client.HTTPException):
-                    self.again += 1
+                    self.resent += 1
                     connection = None
-                    self._ends.wait(0.002)
+                    self._closing.wait(0.002)
             else:
-                self.lost.append(name)
+                self.lost.append(request)
 
     def close(self) -> None:
-        """End the clients after their answers."""
-        self._ends.set()
+        """End the clients once they have their answers."""
+        self._closing.set()
         for thread in self._threads:
             thread.join(5)
 
 
-def planned(instances: Instances, times: int) -> tuple[list[float], int, int, int]:
-    """Hand over by SIGTERM with jobs in hand: gaps between answers, jobs, lost, and not served."""
-    gaps, count, lost, unserved = [], 0, 0, 0
+def measure_planned_moves(instances: DispatcherProcesses, times: int) -> tuple[list[float], int, int, int]:
+    """Move the address by SIGTERM while jobs are open.
+
+    Returns:
+        The longest outage of each move in seconds, and the numbers of jobs answered, lost, and answered with
+        another status than 200.
+    """
+    outages_s, count, lost, unserved = [], 0, 0, 0
     for _ in track(range(times), description="planned"):
-        holder = instances.settled(20)
-        probe, jobs = Probe(instances.service, ADDRESS), Jobs(instances.service, 8)
+        holder = instances.wait_until_settled(20)
+        probe, jobs = (
+            AddressProbe(instances.service_address, ADDRESS_NAME),
+            JobClients(instances.service_address, 8),
+        )
         pause = threading.Event()
         try:
             pause.wait(0.4)
             start = time.monotonic()
             instances.signal(holder, signal.SIGTERM)
-            back = probe.wait_for(None, start, but=holder)
+            back = probe.wait_for_answer(None, start, excluding=holder)
             pause.wait(0.5)
-            gaps.append(probe.away(start, back.answered + 0.1))
+            outages_s.append(probe.longest_outage_s(start, back.answered_at + 0.1))
         finally:
             jobs.close()
             probe.close()
@@ -134,66 +165,80 @@
         unserved += sum(status != 200 for _, status in jobs.answers)
         instances.processes[holder].wait(10)
         instances.start(holder)
-    return gaps, count, lost, unserved
+    return outages_s, count, lost, unserved
+
 
+def measure_idle_cost(count: int, seconds: float) -> str:
+    """Measure one idle instance of a group, with the service address enabled and disabled.
 
-def rest(count: int, seconds: float) -> str:
-    """CPU of one idle instance with the section on and off, and the datagrams that it sends."""
-    shares, sent = [], 0.0
-    for on in (True, False):
+    Returns:
+        A line of the table with both CPU shares and the datagrams sent per second.
+    """
+    cpu_percent, sent_per_s = [], 0.0
+    for address_enabled in (True, False):
         with tempfile.TemporaryDirectory() as folder:
-            instances = Instances(Path(folder), count, on=on)
+            instances = DispatcherProcesses(Path(folder), count, address_enabled=address_enabled)
             try:
                 instances.start()
                 pause, name = threading.Event(), instances.names[0]
-                if on:
-                    instances.settled(20)
+                if address_enabled:
+                    instances.wait_until_settled(20)
                 pause.wait(2.0)
-                cpu, before = _cpu(instances, name), _sent(instances, name)
+                cpu_before_s, sent_before = _cpu_s(instances, name), _sent(instances, name)
                 pause.wait(seconds)
-                shares.append((_cpu(instances, name) - cpu) / seconds * 100)
-                sent = max(sent, (_sent(instances, name) - before) / seconds)
+                cpu_percent.append((_cpu_s(instances, name) - cpu_before_s) / seconds * 100)
+                sent_per_s = max(sent_per_s, (_sent(instances, name) - sent_before) / seconds)
             finally:
                 instances.close()
-    return f"| {count} | {shares[0]:.2f} % | {shares[1]:.2f} % | {sent:.0f} |"
+    return f"| {count} | {cpu_percent[0]:.2f} % | {cpu_percent[1]:.2f} % | {sent_per_s:.0f} |"
 
 
-def _cpu(instances: Instances, name: str) -> float:
-    """Seconds of a core that an instance has used."""
+def _cpu_s(instances: DispatcherProcesses, name: str) -> float:
+    """Return the CPU time of an instance, in seconds."""
     stat = Path(f"/proc/{instances.processes[name].pid}/stat").read_text()
     return sum(map(int, stat.rsplit(") ", 1)[1].split()[11:13])) / int(os.sysconf("SC_CLK_TCK"))
 
 
-def _sent(instances: Instances, name: str) -> int:
-    said = instances.status(name) or {}
-    wire = said.get("wire", {})
+def _sent(instances: DispatcherProcesses, name: str) -> int:
+    """Return the number of datagrams that an instance has sent."""
+    status = instances.status(name) or {}
+    wire = status.get("wire", {})
     return int(wire.get("sent", 0)) if isinstance(wire, dict) else 0
 
 
 def main(
-    quick: Annotated[bool, typer.Option(help="A few of each; the table is printed, not kept.")] = False,
+    quick: Annotated[bool, typer.Option(help="Few repetitions; print the table without writing it.")] = False,
 ) -> None:
-    """Measure, and write the table."""
+    """Measure and write the table."""
     times = 2 if quick else 20
     rows = []
     with tempfile.TemporaryDirectory() as folder:
-        instances = Instances(Path(folder), run_s=0.03)
+        instances = DispatcherProcesses(Path(folder), job_run_s=0.03)
         try:
             instances.start()
-            killed, split = Figures("kill (SIGKILL)"), Figures("split, the holder alone on one side")
-            play(instances, killed, times, instances.kill, instances.start)
+            kill_results, split_results = (
+                FaultResults("kill (SIGKILL)"),
+                FaultResults("split, the holder alone on one side"),
+            )
+            inject_fault(instances, kill_results, times, instances.kill, instances.start)
             for seconds, name in ((0.08, "80 ms"), (3.0, "3 s")):
-                stalled = Figures(f"stall of {name} (SIGSTOP)")
+                stall_results = FaultResults(f"stall of {name} (SIGSTOP)")
                 stall = functools.partial(instances.stall, seconds=seconds)
-                play(instances, stalled, times // 2, stall, lambda holder: None)
-                rows.append(stalled.row())
-            play(instances, split, times, instances.relay.isolate, lambda holder: instances.relay.mend())
-            rows = [killed.row(), *rows, split.row()]
-            gaps, count, lost, unserved = planned(instances, times)
+                inject_fault(instances, stall_results, times // 2, stall, lambda holder: None)
+                rows.append(stall_results.row())
+            inject_fault(
+                instances,
+                split_results,
+                times,
+                instances.relay.isolate,
+                lambda holder: instances.relay.heal(),
+            )
+            rows = [kill_results.row(), *rows, split_results.row()]
+            outages_s, count, lost, unserved = measure_planned_moves(instances, times)
         finally:
             instances.close()
-    costs = [rest(n, 3.0 if quick else 20.0) for n in (3, 7)]
-    worst, middle = round(max(gaps) * 1000), round(statistics.median(gaps) * 1000)
+    costs = [measure_idle_cost(n, 3.0 if quick else 20.0) for n in (3, 7)]
+    longest_ms, median_ms = round(max(outages_s) * 1000), round(statistics.median(outages_s) * 1000)
     text = f"""# Moving service addresses, measured
 
 `python -m benchmarks.address`, Python {platform.python_version()}, {os.cpu_count()} cores, all on loopback.
@@ -211,8 +256,8 @@
 
 In a split the holder rightly serves on until its lease ends: the time away is only from then on.
 
-Planned moves (SIGTERM, while 8 clients hand in jobs of 30 ms on kept connections): {len(gaps)} moves, longest
-time without an answer on the address {worst} ms (median {middle} ms).
+Planned moves (SIGTERM, while 8 clients hand in jobs of 30 ms on kept connections): {len(outages_s)} moves, longest
+time without an answer on the address {longest_ms} ms (median {median_ms} ms).
 Of {count} jobs {lost} were lost and {unserved} answered otherwise than 200.
 
 | instances | CPU of one at rest | the same, section off | datagrams a second that it sends |
@@ -223,7 +268,7 @@
 """
     print(text)
     if not quick:
-        TABLE.write_text(text)
+        TABLE_FILE.write_text(text)
 
 
 if __name__ == "__main__":
--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -1,7 +1,8 @@
-"""Processes that measurements on sockets need beside the dispatcher: `python -m benchmarks.parts workers|relay`.
+"""Auxiliary processes of the socket benchmark: `python -m benchmarks.parts workers|relay`.
 
-Workers that answer at once, and a bare relay that passes bytes on and understands none. Each prints where it
-listens as JSON and runs until it is ended. Callbacks on asyncio protocols, as the dispatcher is.
+`workers` runs workers that answer immediately. `relay` runs a plain TCP relay that forwards bytes without
+parsing them. Each prints its listening addresses as JSON and runs until it is killed. Both use callbacks on
+asyncio protocols, as the dispatcher does.
 """
 
 import asyncio
@@ -9,16 +10,18 @@
 import sys
 from typing import cast
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 class _Worker(asyncio.Protocol):
-    """Answers each request at once: started, done."""
+    """Answers each request immediately with the events `started` and `done`."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Begin with an empty buffer."""
         self.transport, self.data = cast(asyncio.Transport, transport), b""
 
     def data_received(self, data: bytes) -> None:
+        """Answer every request that is complete."""
         self.data += data
         while (end := self.data.find(b"\r\n\r\n")) >= 0:
             head = self.data[:end].lower()
@@ -28,72 +31,79 @@
             if len(self.data) < end + 4 + length:
                 return
             at = head.find(b"req-id: ")
-            name = self.data[at + 8 : end].split(b"\r\n")[0].decode()
+            request = self.data[at + 8 : end].split(b"\r\n")[0].decode()
             self.data = self.data[end + 4 + length :]
-            lines = b""
-            for more in ({"state": "started"}, {"state": "done", "result": "made"}):
-                line = json.dumps({"id": name, "from": "w", **more}).encode() + b"\n"
-                lines += b"%x\r\n%s\r\n" % (len(line), line)
-            self.transport.write(HEAD + lines + b"0\r\n\r\n")
+            chunks = b""
+            for fields in ({"state": "started"}, {"state": "done", "result": "made"}):
+                line = json.dumps({"id": request, "from": "w", **fields}).encode() + b"\n"
+                chunks += b"%x\r\n%s\r\n" % (len(line), line)
+            self.transport.write(RESPONSE_HEAD + chunks + b"0\r\n\r\n")
 
 
-class _Far(asyncio.Protocol):
+class _WorkerSide(asyncio.Protocol):
     """The relay's connection to a worker."""
 
-    def __init__(self, near: "_Near") -> None:
-        self.near = near
+    def __init__(self, client: "_ClientSide") -> None:
+        self.client = client
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Forward what the client has sent so far."""
         self.transport = cast(asyncio.Transport, transport)
-        for data in self.near.early:
+        for data in self.client.unsent:
             self.transport.write(data)
-        self.near.far = self.transport
+        self.client.worker = self.transport
 
     def data_received(self, data: bytes) -> None:
-        self.near.transport.write(data)
+        """Forward data of the worker to the client."""
+        self.client.transport.write(data)
 
 
-class _Near(asyncio.Protocol):
-    """The relay's connection to a client, with one to a worker for as long."""
+class _ClientSide(asyncio.Protocol):
+    """The relay's connection to a client, which has its own connection to a worker."""
 
     workers: tuple[tuple[str, int], ...] = ()
-    made = 0
+    count = 0  # of connections so far, to use the workers in turn
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport, self.early = cast(asyncio.Transport, transport), list[bytes]()
-        self.far: asyncio.Transport | None = None
-        where = self.workers[_Near.made % len(self.workers)]
-        _Near.made += 1
+        """Connect to the next worker."""
+        self.transport, self.unsent = cast(asyncio.Transport, transport), list[bytes]()
+        self.worker: asyncio.Transport | None = None
+        address = self.workers[_ClientSide.count % len(self.workers)]
+        _ClientSide.count += 1
         loop = asyncio.get_running_loop()
-        self.task = loop.create_task(loop.create_connection(lambda: _Far(self), *where))
+        self.task = loop.create_task(loop.create_connection(lambda: _WorkerSide(self), *address))
 
     def data_received(self, data: bytes) -> None:
-        if self.far is None:
-            self.early.append(data)
+        """Forward data of the client to the worker, or keep it until the connection is up."""
+        if self.worker is None:
+            self.unsent.append(data)
         else:
-            self.far.write(data)
+            self.worker.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.far is not None:
-            self.far.close()
+        """Close the connection to the worker."""
+        if self.worker is not None:
+            self.worker.close()
 
 
-async def _workers(count: int) -> None:
+async def _run_workers(count: int) -> None:
+    """Run workers, and print the list of their addresses."""
     loop = asyncio.get_running_loop()
     servers = [await loop.create_server(_Worker, "127.0.0.1", 0) for _ in range(count)]
-    print(json.dumps([s.sockets[0].getsockname() for s in servers]), flush=True)
+    print(json.dumps([server.sockets[0].getsockname() for server in servers]), flush=True)
     await asyncio.Event().wait()
 
 
-async def _relay(workers: list[list[object]]) -> None:
-    _Near.workers = tuple((str(host), int(str(port))) for host, port in workers)
-    server = await asyncio.get_running_loop().create_server(_Near, "127.0.0.1", 0)
+async def _run_relay(workers: list[list[object]]) -> None:
+    """Run the relay for these workers, and print its address."""
+    _ClientSide.workers = tuple((str(host), int(str(port))) for host, port in workers)
+    server = await asyncio.get_running_loop().create_server(_ClientSide, "127.0.0.1", 0)
     print(json.dumps(server.sockets[0].getsockname()), flush=True)
     await asyncio.Event().wait()
 
 
 if __name__ == "__main__":
     if sys.argv[1] == "workers":
-        asyncio.run(_workers(int(sys.argv[2])))
+        asyncio.run(_run_workers(int(sys.argv[2])))
     else:
-        asyncio.run(_relay(json.loads(sys.argv[2])))
+        asyncio.run(_run_relay(json.loads(sys.argv[2])))
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,9 +1,9 @@
-"""What a start costs: python -m benchmarks.start
+"""Benchmark of the start of a dispatcher: `python -m benchmarks.start`.
 
-Starts `wickgw serve` as the platform does, and `import numpy` beside it in turn, and takes for each the median of
-so many runs: processor time and real time until the process listens and until it is ready, resident memory when
-it is ready, and how many modules it has loaded. Once with compiled sources, as `build` leaves them, and once with
-no bytecode cached. Writes the table to benchmarks/start.md.
+Alternates starts of `wickgw serve`, as the platform starts it, with runs of `import numpy`. The table gives the
+medians of CPU time and real time until the process listens and until it is ready, of resident memory when it is
+ready, and the number of loaded modules. One set of runs uses compiled sources, as `build` leaves them; the other
+has no cached bytecode. Writes benchmarks/start.md.
 """
 
 import http.client
@@ -27,34 +27,38 @@
 ]
 
 
-def spent(pid: int) -> float:
-    """Processor seconds of a process so far: the scheduler's count, in nanoseconds."""
+def cpu_s(pid: int) -> float:
+    """Return the CPU time of a process in seconds, from the scheduler's count of nanoseconds."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
-def memory(pid: int) -> float:
-    """Resident megabytes."""
+def resident_mb(pid: int) -> float:
+    """Return the resident memory of a process, in megabytes."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return int(next(line for line in lines if line.startswith("VmRSS")).split()[1]) / 1000
 
 
-def until(process: "subprocess.Popen[bytes]", asked: Callable[[], bool]) -> None:
-    """Ask again and again until it is so."""
+def wait_until(process: "subprocess.Popen[bytes]", condition: Callable[[], bool]) -> None:
+    """Poll without pause until the condition is true.
+
+    Raises:
+        SystemExit: The process has ended, or 60 s have passed.
+    """
     end = time.monotonic() + 60
-    while not asked():
+    while not condition():
         if process.poll() is not None or time.monotonic() > end:
             raise SystemExit(f"the process ended with {process.poll()}")
 
 
-def listens(port: int) -> bool:
-    """Whether somebody listens there. No connection is made: it would be accepted, and cost the process."""
-    wanted = f"0100007F:{port:04X}"
+def is_listening(port: int) -> bool:
+    """Return whether a socket listens on the port, from /proc; a connection would cost the process CPU time."""
+    local_address = f"0100007F:{port:04X}"
     rows = (line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:])
-    return any(row[1] == wanted and row[3] == "0A" for row in rows)
+    return any(row[1] == local_address and row[3] == "0A" for row in rows)
 
 
-def ready(port: int) -> bool:
-    """Whether it says that it is ready."""
+def is_ready(port: int) -> bool:
+    """Return whether `/-/ready` answers with success."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=10)
     try:
         connection.request("GET", "/-/ready")
@@ -68,9 +72,16 @@
 def serve_once(
     environ: dict[str, str], folder: Path, tree: Path, log: int = subprocess.DEVNULL
 ) -> dict[str, float]:
-    """One start of the program."""
-    with socket.create_server(("127.0.0.1", 0)) as probe:
-        port = probe.getsockname()[1]
+    """Start the program once, and return its figures.
+
+    Args:
+        environ: Environment of the process.
+        folder: Directory for the configuration.
+        tree: Checkout to run.
+        log: File descriptor for standard error.
+    """
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        port = listener.getsockname()[1]
     entry = {"uid": "w0", "endpoint": "127.0.0.1:9", "state": "ready"}
     config: dict[str, Any] = {"name": "n0", "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:9"}
     config |= {"settings": {"services": SERVICES}, "known": {"rev": 1, "all": True, "targets": [entry]}}
@@ -84,11 +95,11 @@
         stderr=log,
     )
     try:
-        until(process, lambda: listens(port))
-        figures = {"listens cpu": spent(process.pid), "listens real": time.monotonic() - began}
-        until(process, lambda: ready(port))
-        figures |= {"ready cpu": spent(process.pid), "ready real": time.monotonic() - began}
-        figures["memory"] = memory(process.pid)
+        wait_until(process, lambda: is_listening(port))
+        figures = {"listens cpu": cpu_s(process.pid), "listens real": time.monotonic() - began}
+        wait_until(process, lambda: is_ready(port))
+        figures |= {"ready cpu": cpu_s(process.pid), "ready real": time.monotonic() - began}
+        figures["memory"] = resident_mb(process.pid)
     finally:
         process.terminate()
         process.wait(30)
@@ -96,24 +107,24 @@
 
 
 def numpy_once(environ: dict[str, str], folder: Path, tree: Path) -> dict[str, float]:
-    """One import of numpy."""
+    """Import numpy once in a new process, and return its figures."""
     code = "import numpy, sys, resource as r; u = r.getrusage(r.RUSAGE_SELF); print(u.ru_utime + u.ru_stime)"
     began = time.monotonic()
-    done = subprocess.run([sys.executable, "-c", code], env=environ, capture_output=True, check=True)
-    return {"numpy cpu": float(done.stdout), "numpy real": time.monotonic() - began}
+    process = subprocess.run([sys.executable, "-c", code], env=environ, capture_output=True, check=True)
+    return {"numpy cpu": float(process.stdout), "numpy real": time.monotonic() - began}
 
 
-def modules(environ: dict[str, str], folder: Path, tree: Path) -> int:
-    """How many modules a serving process has loaded when it is ready, as Python's own trace of imports lists."""
+def count_modules(environ: dict[str, str], folder: Path, tree: Path) -> int:
+    """Return how many modules a dispatcher has loaded when it is ready, from Python's trace of imports."""
     with (folder / "trace").open("w+") as trace:
-        told = environ | {"PYTHONPROFILEIMPORTTIME": "1"}
-        serve_once(told, folder, tree, trace.fileno())
+        traced_environ = environ | {"PYTHONPROFILEIMPORTTIME": "1"}
+        serve_once(traced_environ, folder, tree, trace.fileno())
         trace.seek(0)
-        return sum(line.startswith("import time:") for line in trace) - 1  # less the head of the list
+        return sum(line.startswith("import time:") for line in trace) - 1  # minus the heading of the trace
 
 
 def measure(runs: int, cached: bool, tree: Path) -> dict[str, float]:
-    """Medians over so many runs, the two in turn."""
+    """Return the medians over a number of runs, with and without cached bytecode by `cached`."""
     environ = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "WICKGW_"))}
     environ |= {"OPENBLAS_NUM_THREADS": "1", "OMP_NUM_THREADS": "1"}
     environ.pop("PYTHONDONTWRITEBYTECODE", None)
@@ -126,18 +137,18 @@
         environ["PYTHONDONTWRITEBYTECODE"] = "1"
         if not cached:
             environ["PYTHONPYCACHEPREFIX"] = str(folder / "empty")
-        found: dict[str, list[float]] = {}
+        samples: dict[str, list[float]] = {}
         for _ in range(runs):
-            for once in (serve_once, numpy_once):
-                for key, value in once(environ, folder, tree).items():
-                    found.setdefault(key, []).append(value)
-        loaded = {"modules": modules(environ, folder, tree)}
-        return {k: statistics.median(v) for k, v in found.items()} | loaded
+            for run_once in (serve_once, numpy_once):
+                for key, value in run_once(environ, folder, tree).items():
+                    samples.setdefault(key, []).append(value)
+        module_count = {"modules": count_modules(environ, folder, tree)}
+        return {k: statistics.median(v) for k, v in samples.items()} | module_count
 
 
 def main(
-    runs: Annotated[int, typer.Option(help="Starts of each kind.")] = 20,
-    tree: Annotated[Path, typer.Option(help="A checkout to measure, in place of this one.")] = ROOT,
+    runs: Annotated[int, typer.Option(help="Number of starts of each kind.")] = 20,
+    tree: Annotated[Path, typer.Option(help="Checkout to measure instead of this one.")] = ROOT,
     write: Annotated[bool, typer.Option(help="Write the table beside this file.")] = True,
 ) -> None:
     """Measure and print the table."""
@@ -145,17 +156,27 @@
     rows += ["| --- | --- | --- | --- | --- | --- | --- |"]
     notes = []
     for cached, name in ((True, "compiled"), (False, "none")):
-        m = measure(runs, cached, tree)
-        for kind, what in (("cpu", "processor ms"), ("real", "real ms")):
-            a, b, c = (m[f"{k} {kind}"] for k in ("listens", "ready", "numpy"))
-            cells = [f"{1000 * a:.0f}", f"{1000 * b:.0f}", f"{1000 * c:.0f}", f"{a / c:.2f}", f"{b / c:.2f}"]
-            rows.append(f"| {name} | {what} | {' | '.join(cells)} |")
-        notes.append(f"{name}: {m['memory']:.1f} MB resident when ready, {m['modules']:.0f} modules.")
+        medians = measure(runs, cached, tree)
+        for kind, label in (("cpu", "processor ms"), ("real", "real ms")):
+            listens_s, ready_s, numpy_s = (
+                medians[f"{event} {kind}"] for event in ("listens", "ready", "numpy")
+            )
+            cells = [
+                f"{1000 * listens_s:.0f}",
+                f"{1000 * ready_s:.0f}",
+                f"{1000 * numpy_s:.0f}",
+                f"{listens_s / numpy_s:.2f}",
+                f"{ready_s / numpy_s:.2f}",
+            ]
+            rows.append(f"| {name} | {label} | {' | '.join(cells)} |")
+        notes.append(
+            f"{name}: {medians['memory']:.1f} MB resident when ready, {medians['modules']:.0f} modules."
+        )
     text = "\n".join([*rows, "", *notes]) + "\n"
     print(text)
     if write:
-        head = f"# What a start costs\n\nMedians of {runs} starts, by `python -m benchmarks.start`.\n\n"
-        Path(__file__).with_suffix(".md").write_text(head + text)
+        heading = f"# What a start costs\n\nMedians of {runs} starts, by `python -m benchmarks.start`.\n\n"
+        Path(__file__).with_suffix(".md").write_text(heading + text)
 
 
 if __name__ == "__main__":
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,9 @@
-"""Tests that are known to be red: KNOWN-RED.txt at the root names those of a fault that is not mended yet.
+"""Known failing tests: KNOWN-RED.txt at the root names tests that fail because of a fault not yet fixed.
 
-Each is run all the same. Red, it is passed over and printed; green, it fails the run, since its line has to
-go then; a line that names no test, no cause or no issue, or a fourth line, ends the run at once."""
+Each of them is run. If it fails, the run goes on and prints its line. If it passes, the run fails, because
+the line must then be removed. A line that names no existing test, no cause or no issue ends the run at once,
+and so does a fourth line.
+"""
 
 import re
 from dataclasses import dataclass
@@ -10,14 +12,14 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-FILE, MOST = "KNOWN-RED.txt", 3
+FILE_NAME, MAX_LINES = "KNOWN-RED.txt", 3
 LINE = re.compile(
     r"(?P<test>(?P<path>tests/\w+\.py)::(?P<name>test_\w+)) \| (?P<cause>\S.*) \| (?P<issue>\d+)"
 )
 
 
 @dataclass(frozen=True)
-class Red:
+class KnownFailure:
     """One line of the list."""
 
     test: str
@@ -25,9 +27,13 @@
     issue: str
 
 
-def read_known_red(text: str, root: Path) -> list[Red]:
-    """The list, checked against the tests that there are. Raises ValueError."""
-    reds = list[Red]()
+def read_known_failures(text: str, root: Path) -> list[KnownFailure]:
+    """Read the list and check it against the tests under `root`.
+
+    Raises:
+        ValueError: A line is malformed or names no test, or there are too many or duplicate lines.
+    """
+    failures = list[KnownFailure]()
     for line in filter(None, map(str.strip, text.splitlines())):
         match = LINE.fullmatch(line)
         if match is None:
@@ -35,29 +41,32 @@
         path = root / match["path"]
         if not path.is_file() or not re.search(rf"^(async )?def {match['name']}\(", path.read_text(), re.M):
             raise ValueError(f"no such test: {match['test']}")
-        reds.append(Red(match[1], match["cause"], match["issue"]))
-    if len(reds) > MOST or len({red.test for red in reds}) < len(reds):
-        raise ValueError(f"{MOST} tests at most, each once")
-    return reds
+        failures.append(KnownFailure(match[1], match["cause"], match["issue"]))
+    if len(failures) > MAX_LINES or len({failure.test for failure in failures}) < len(failures):
+        raise ValueError(f"{MAX_LINES} tests at most, each once")
+    return failures
 
 
-def known_red() -> list[Red]:
-    path = ROOT / FILE
+def known_failures() -> list[KnownFailure]:
+    """Return the list of this repository; an invalid list ends the run."""
+    path = ROOT / FILE_NAME
     try:
-        return read_known_red(path.read_text(), ROOT) if path.exists() else []
+        return read_known_failures(path.read_text(), ROOT) if path.exists() else []
     except ValueError as error:
-        raise pytest.UsageError(f"{FILE}: {error}") from error
+        raise pytest.UsageError(f"{FILE_NAME}: {error}") from error
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    reds = {red.test: red for red in known_red()}
+    """Mark the known failing tests as strict expected failures."""
+    failures = {failure.test: failure for failure in known_failures()}
     for item in items:
-        if red := reds.get(item.nodeid.partition("[")[0]):
+        if failure := failures.get(item.nodeid.partition("[")[0]):
             item.add_marker(
-                pytest.mark.xfail(strict=True, reason=f"known red, issue {red.issue}: {red.cause}")
+                pytest.mark.xfail(strict=True, reason=f"known red, issue {failure.issue}: {failure.cause}")
             )
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for red in known_red():
-        terminalreporter.write_line(f"known red: {red.test} | {red.cause} | {red.issue}")
+    """Print the known failing tests."""
+    for failure in known_failures():
+        terminalreporter.write_line(f"known red: {failure.test} | {failure.cause} | {failure.issue}")
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""Drives a Balancer by hand: keeps clock, timers and open attempts, and checks the rules on every action."""
+"""Drives a Balancer without sockets: keeps the clock, timers and open attempts, and checks every action."""
 
 import heapq
 from dataclasses import dataclass, field
@@ -18,100 +18,126 @@
 
 
 @dataclass
-class Try:
-    """One attempt as the caller sees it."""
+class AttemptRecord:
+    """One attempt, as seen by the caller of the balancer."""
 
     worker: i.Entry
-    sent: float
+    sent_at: float
     verdict: i.Verdict | None = None
     started: bool = False
 
 
 @dataclass
-class Owed:
-    """One request as the caller sees it."""
+class RequestRecord:
+    """One request, as seen by the caller of the balancer."""
 
-    kind: i.RequestClass
-    due: float
-    tries: list[Try] = field(default_factory=list)
-    answered: float | None = None
+    request_class: i.RequestClass
+    deadline: float
+    attempts: list[AttemptRecord] = field(default_factory=list)
+    answered_at: float | None = None
 
 
-class Caller:
-    """Plays the dispatcher around a Balancer."""
+class BalancerDriver:
+    """Calls a Balancer as a dispatcher does, in virtual time.
+
+    Every action is checked against the rules: one final answer in time, no send to a draining worker, and no
+    repeated attempt that the request's class forbids. Times are in seconds.
+
+    Args:
+        settings: Settings of the balancer.
+        seed: Seed of the balancer.
+        entries: Workers of the first list.
+    """
 
     def __init__(self, settings: i.Settings, seed: int = 1, entries: tuple[i.Entry, ...] = ()) -> None:
-        self.set, self.now = settings, 0.0
+        self.settings, self.now = settings, 0.0
         self.balancer = Balancer(settings, seed)
         self.timers: list[tuple[float, int, str]] = []
         self.listed: dict[str, i.Entry] = {}
-        self.owed: dict[str, Owed] = {}
+        self.requests: dict[str, RequestRecord] = {}
         self.actions: list[tuple[float, i.Action]] = []
         self.feed(i.Began())
-        self.tell(*entries, kind=i.ListKind.RESTORED)
+        self.update_list(*entries, kind=i.ListKind.RESTORED)
 
-    def tell(self, *entries: i.Entry, kind: i.ListKind = i.ListKind.UPDATE) -> list[i.Action]:
-        """Tell of workers."""
+    def update_list(self, *entries: i.Entry, kind: i.ListKind = i.ListKind.UPDATE) -> list[i.Action]:
+        """Feed a change of the list of workers."""
         if kind in (i.ListKind.REPLACE, i.ListKind.RESTORED):
             self.listed = {}
         if kind is not i.ListKind.UNAVAILABLE:
-            self.listed.update({e.worker: e for e in entries})
+            self.listed.update({entry.worker: entry for entry in entries})
         return self.feed(i.WorkerList(kind, entries))
 
     def arrive(
-        self, name: str, cls: int = 0, patience: float | None = None, slots: float = 1.0, tenant: int = 0
+        self, name: str, cls: int = 0, time_left: float | None = None, slots: float = 1.0, tenant: int = 0
     ) -> list[i.Action]:
-        """A request comes."""
-        kind = self.set.classes[cls]
-        patience = kind.deadline if patience is None else patience
-        self.owed[name] = Owed(kind, self.now + patience)
-        return self.feed(i.Arrival(name, cls, patience, tenant, slots))
-
-    def start(self, name: str, number: int = 0) -> list[i.Action]:
-        """A worker begins an attempt."""
-        self.owed[name].tries[number].started = True
+        """Feed the arrival of a request.
+
+        Args:
+            name: Id of the request.
+            cls: Index of its class.
+            time_left: Seconds until its deadline; None for the deadline of its class.
+            slots: Slots that the job takes.
+            tenant: Index of its tenant.
+        """
+        request_class = self.settings.classes[cls]
+        time_left = request_class.deadline if time_left is None else time_left
+        self.requests[name] = RequestRecord(request_class, self.now + time_left)
+        return self.feed(i.Arrival(name, cls, time_left, tenant, slots))
+
+    def start_attempt(self, name: str, number: int = 0) -> list[i.Action]:
+        """Feed the start of an attempt at its worker."""
+        self.requests[name].attempts[number].started = True
         return self.feed(i.Started(name, number))
 
-    def end(
+    def end_attempt(
         self, name: str, verdict: i.Verdict = i.Verdict.OK, number: int = 0, free: float | None = None
     ) -> list[i.Action]:
-        """An attempt ends, perhaps with a load report."""
-        owed = self.owed[name]
-        attempt = owed.tries[number]
+        """Feed the end of an attempt; `free` is the worker's load report, if there is one."""
+        request = self.requests[name]
+        attempt = request.attempts[number]
         assert attempt.verdict is None
         attempt.verdict = verdict
-        if verdict is i.Verdict.OK and owed.answered is None:
-            owed.answered = self.now
-        over = owed.answered is not None
+        if verdict is i.Verdict.OK and request.answered_at is None:
+            request.answered_at = self.now
+        over = request.answered_at is not None
         return self.feed(i.Outcome(name, number, verdict, over, free))
 
-    def open(self) -> list[tuple[str, int]]:
-        """Attempts without an outcome."""
-        return [(n, k) for n, o in self.owed.items() for k, t in enumerate(o.tries) if t.verdict is None]
+    def open_attempts(self) -> list[tuple[str, int]]:
+        """Return the attempts without an outcome, as (request, number)."""
+        return [
+            (name, number)
+            for name, request in self.requests.items()
+            for number, attempt in enumerate(request.attempts)
+            if attempt.verdict is None
+        ]
 
     def wait(self, seconds: float) -> list[i.Action]:
-        """Let time pass: timers come due, attempts time out at the client's deadline."""
+        """Advance the time, firing due timers and timing attempts out at the deadline; return the actions."""
         end, done = self.now + seconds, len(self.actions)
         while True:
-            late = [(o.due, n) for n, o in self.owed.items() if any(t.verdict is None for t in o.tries)]
-            late = [x for x in late if x[0] >= self.now]
+            deadlines = [
+                (request.deadline, name)
+                for name, request in self.requests.items()
+                if any(attempt.verdict is None for attempt in request.attempts)
+            ]
+            deadlines = [pair for pair in deadlines if pair[0] >= self.now]
             timer = self.timers[0][0] if self.timers else end + 1
-            overdue = min(late, default=(end + 1, ""))
-            if min(timer, overdue[0]) > end:
+            next_deadline = min(deadlines, default=(end + 1, ""))
+            if min(timer, next_deadline[0]) > end:
                 break
-            if timer <= overdue[0]:
-                self.now, _, name = heapq.heappop(self.timers)
-                self.feed(i.Timer(name))
+            if timer <= next_deadline[0]:
+                self.now, _, timer_name = heapq.heappop(self.timers)
+                self.feed(i.Timer(timer_name))
             else:
-                self.now = overdue[0]
-                for k, t in enumerate(self.owed[overdue[1]].tries):
-                    if t.verdict is None:
-                        self.end(overdue[1], i.Verdict.TIMEOUT, k)
+                self.now = next_deadline[0]
+                for number, attempt in enumerate(self.requests[next_deadline[1]].attempts):
+                    if attempt.verdict is None:
+                        self.end_attempt(next_deadline[1], i.Verdict.TIMEOUT, number)
         self.now = end
-        return [a for _, a in self.actions[done:]]
+        return [action for _, action in self.actions[done:]]
 
     def feed(self, event: i.Event) -> list[i.Action]:
-        """Pass one event on and check what comes back."""
+        """Pass one event to the balancer, check the actions that it returns, and return them."""
         actions = self.balancer.handle(event, self.now)
         for action in actions:
             self.actions.append((self.now, action))
@@ -121,43 +147,48 @@
                     due = self.now + after - 5e-10  # a clock of whole nanoseconds may round down
                     heapq.heappush(self.timers, (due, len(self.actions), name))
                 case i.Send(name, worker):
-                    self._check_send(self.owed[name], worker)
+                    self._check_send(self.requests[name], worker)
                 case i.Refuse(name) | i.Fail(name):
-                    owed = self.owed[name]
-                    assert owed.answered is None, "two final answers"
-                    assert self.now <= owed.due + 0.02, "answered late"
-                    owed.answered = self.now
+                    request = self.requests[name]
+                    assert request.answered_at is None, "two final answers"
+                    assert self.now <= request.deadline + 0.02, "answered late"
+                    request.answered_at = self.now
                     if isinstance(action, i.Refuse):
-                        risky = [t for t in owed.tries if t.verdict not in NEVER_RAN]
+                        may_have_run = [a for a in request.attempts if a.verdict not in NEVER_RAN]
                         keyed_all = (
-                            owed.kind.idempotency is i.Idempotency.KEYED
-                            and owed.kind.dedup_scope is i.DedupScope.ALL
-                        )
-                        assert not risky or owed.kind.idempotency is i.Idempotency.SAFE or keyed_all, (
-                            "untrue refusal"
+                            request.request_class.idempotency is i.Idempotency.KEYED
+                            and request.request_class.dedup_scope is i.DedupScope.ALL
                         )
+                        assert (
+                            not may_have_run
+                            or request.request_class.idempotency is i.Idempotency.SAFE
+                            or keyed_all
+                        ), "refused although it may have run"
                 case i.Cancel(name, number):
-                    assert self.set.may_cancel and number < len(self.owed[name].tries)
+                    assert self.settings.may_cancel and number < len(self.requests[name].attempts)
         return actions
 
-    def _check_send(self, owed: Owed, worker: str) -> None:
+    def _check_send(self, request: RequestRecord, worker: str) -> None:
         entry = self.listed[worker]
         assert entry.health is i.Health.READY, "sent to a drained worker"
-        assert owed.answered is None, "sent after the answer"
-        assert len(owed.tries) < self.set.max_attempts
-        risky = [t for t in owed.tries if t.verdict not in NEVER_RAN]
-        assert self.set.may_hedge or all(t.verdict is not None for t in risky), "two attempts at once"
-        if owed.kind.idempotency is i.Idempotency.UNSAFE:
-            assert not risky, "unsafe sent again"
-        if owed.kind.idempotency is i.Idempotency.KEYED and risky:
-            first = risky[0]
-            written = self.now + self.set.connect_timeout  # at the latest: its connection may open that long
-            assert written <= first.sent + owed.kind.dedup_window, "after the window"
-            group = owed.kind.dedup_scope
+        assert request.answered_at is None, "sent after the answer"
+        assert len(request.attempts) < self.settings.max_attempts
+        may_have_run = [a for a in request.attempts if a.verdict not in NEVER_RAN]
+        assert self.settings.may_hedge or all(a.verdict is not None for a in may_have_run), (
+            "two attempts at once"
+        )
+        if request.request_class.idempotency is i.Idempotency.UNSAFE:
+            assert not may_have_run, "unsafe sent again"
+        if request.request_class.idempotency is i.Idempotency.KEYED and may_have_run:
+            first = may_have_run[0]
+            # The request is written at the latest when the connection attempt would time out.
+            written = self.now + self.settings.connect_timeout
+            assert written <= first.sent_at + request.request_class.dedup_window, "after the window"
+            group = request.request_class.dedup_scope
             assert group is not i.DedupScope.ZONE or entry.zone == first.worker.zone, "outside the zone"
             assert group is not i.DedupScope.CELL or entry.cell == first.worker.cell, "outside the cell"
-        owed.tries.append(Try(entry, self.now))
+        request.attempts.append(AttemptRecord(entry, self.now))
 
-    def sends(self, actions: list[i.Action]) -> list[tuple[str, str]]:
-        """The sends among actions, as (request, worker)."""
-        return [(a.request, a.worker) for a in actions if isinstance(a, i.Send)]
+    def sends_in(self, actions: list[i.Action]) -> list[tuple[str, str]]:
+        """Return the sends among actions, as (request, worker)."""
+        return [(action.request, action.worker) for action in actions if isinstance(action, i.Send)]
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,20 +1,31 @@
-"""A small language for scenes on real loopback sockets: a running dispatcher, and clients, peers and
-discovery played by hand. A scene is lines of `WHO VERB ...`; ` #` begins a remark. WHO is a client connection
-(`a`, `b`, ..., opened when first named), a connection that the dispatcher opens to a peer (`w0` the first,
-`w0/2` the second; `p` to whichever peer is chosen) or to discovery (`d`, `d/2`; `e` after a move there), a
-caller of the second address (`m`, `m2`, ..., where the scene has one), or `node`, the dispatcher.
-
-    send MESSAGE ...     a message of MESSAGES below, or  send raw "text", where ~ ends a line as HTTP does
-    open                 a client connects and says nothing
-    expect PATTERN       bytes that match, after those already matched;  expect end  for the connection's end
-    gets ID              the job of that id, whole, at a peer
-    close [hard]         end the connection, hard with a reset; a server without connections stops listening
-    wait COUNTER N       until the counter has reached N, or what is held now, as `owed`, is exactly N
-    jam                  a peer's queue of connections is filled: further ones never come up
-    drain                what SIGTERM does
-    reload [SERVER]      what SIGHUP does: discovery is there now; without a name the file can't be used
-
-Nothing sleeps: whatever is waited for has ten seconds to come. Ports are the system's choice.
+"""A small scripting language for tests on real loopback sockets.
+
+A `Scenario` runs one dispatcher. The script acts as its clients, its workers and discovery. Each line of a
+script has the form `WHO VERB ...`; ` #` begins a comment. WHO is one of
+
+    a, b, ...      a client connection, opened when it is first named
+    w0, w0/2       the first and the second connection that the dispatcher opens to worker w0; likewise w1
+    p, p/2         a connection that the dispatcher opens to either worker
+    d, d/2         a connection that the dispatcher opens to discovery; e, e/2 after a reload moved it there
+    m, m2, ...     a client connection to the management port, if the scenario has one
+    node           the dispatcher
+
+and VERB is one of
+
+    send MESSAGE ...     send a message of MESSAGES below, a list, or raw "text" in which ~ stands for CR LF
+    open                 connect as a client and send nothing
+    expect PATTERN       read until the pattern matches, after what was matched before; `expect end` waits for
+                         the end of the connection, with nothing left unread
+    gets ID              read the whole head of the request with that id, as a worker
+    close [hard]         close the connection, `hard` with a reset; a worker or discovery without a connection
+                         of that name stops listening
+    wait COUNTER N       wait until a counter is at least N, or a current value such as `owed` is exactly N
+    jam                  fill a worker's queue of connections, so that further connections do not complete
+    drain                drain the dispatcher as SIGTERM does
+    reload [SERVER]      reload as SIGHUP does, with discovery at SERVER; without SERVER the new configuration
+                         is invalid
+
+Scripts contain no sleeps: each step waits up to TIMEOUT_S for its condition. The system chooses all ports.
 """
 
 import asyncio
@@ -34,52 +45,91 @@
 from wickgw.node import Node
 from wickgw.platform_data import read_settings
 
-PATIENCE = 10.0
-MS = 1_000_000
-FACTS: dict[str, Any] = {
+TIMEOUT_S = 10.0
+NS_PER_MS = 1_000_000
+PLATFORM_SETTINGS: dict[str, Any] = {
     "services": [
-        {"name": n, "target-ns": 200 * MS, "hard-limit-ns": 5000 * MS, "idempotency": e, "worth": 2.0}
+        {
+            "name": n,
+            "target-ns": 200 * NS_PER_MS,
+            "hard-limit-ns": 5000 * NS_PER_MS,
+            "idempotency": e,
+            "worth": 2.0,
+        }
         for n, e in (("look", "read_like"), ("once", "non_idempotent"))
     ],
-    "bounds": {"attempts-cap": 3, "cancel": True, "connect-timeout-ns": 250 * MS, "conn-idle-ns": 60000 * MS},
-    "family-info": {"tells-start": True, "progress-ns": 1000 * MS, "class-stretch": [20.0, 20.0]},
+    "bounds": {
+        "attempts-cap": 3,
+        "cancel": True,
+        "connect-timeout-ns": 250 * NS_PER_MS,
+        "conn-idle-ns": 60000 * NS_PER_MS,
+    },
+    "family-info": {"tells-start": True, "progress-ns": 1000 * NS_PER_MS, "class-stretch": [20.0, 20.0]},
     "zones": ["atlanta", "memphis"],
-    "discovery": "ask",  # scenes of lists that are pushed say so: test_endings.py
+    "discovery": "ask",  # tests of pushed lists override this, for example in test_endings.py
 }
 
 
-def job(name: str, cls: str = "look", ms: str = "3000", body: str = "", *fields: str) -> str:
-    lines = [f"POST /{cls}?x=1 HTTP/1.1", "Host: app.svc", f"Req-Id: {name}", f"Req-Deadline-Ms: {ms}"]
+def job_request(
+    request: str, class_name: str = "look", deadline_ms: str = "3000", body: str = "", *fields: str
+) -> str:
+    """Return a client's request for a job, with further header fields."""
+    lines = [
+        f"POST /{class_name}?x=1 HTTP/1.1",
+        "Host: app.svc",
+        f"Req-Id: {request}",
+        f"Req-Deadline-Ms: {deadline_ms}",
+    ]
     return "\r\n".join([*lines, f"Content-Length: {len(body)}", *fields, "", ""]) + body
 
 
-def get(path: str) -> str:
+def get_request(path: str) -> str:
+    """Return a GET request."""
     return f"GET {path} HTTP/1.1\r\nHost: app.svc\r\n\r\n"
 
 
-def event(state: str, name: str, *more: str) -> str:
-    line = json.dumps({"id": name, "state": state} | dict(m.split("=", 1) for m in more)) + "\n"
+def job_event(state: str, request: str, *fields: str) -> str:
+    """Return a worker's job event as a chunk of an HTTP body; `fields` have the form KEY=VALUE."""
+    line = json.dumps({"id": request, "state": state} | dict(field.split("=", 1) for field in fields)) + "\n"
     return f"{len(line):x}\r\n{line}\r\n"
 
 
-HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 MESSAGES: dict[str, Callable[..., str]] = {
-    "job": job,
-    "get": get,
-    "take": lambda: HEAD,
-    "event": event,
+    "job": job_request,
+    "get": get_request,
+    "take": lambda: RESPONSE_HEAD,
+    "event": job_event,
     "end": lambda: "0\r\n\r\n",
-    "done": lambda name, result="made": event("done", name, f"result={result}") + "0\r\n\r\n",
-    "serve": lambda name: HEAD + event("started", name) + event("done", name, "result=made") + "0\r\n\r\n",
-    "last": lambda state, name: HEAD + event(state, name) + "0\r\n\r\n",
+    "done": lambda request, result="made": job_event("done", request, f"result={result}") + "0\r\n\r\n",
+    "serve": lambda request: (
+        RESPONSE_HEAD
+        + job_event("started", request)
+        + job_event("done", request, "result=made")
+        + "0\r\n\r\n"
+    ),
+    "last": lambda state, request: RESPONSE_HEAD + job_event(state, request) + "0\r\n\r\n",
     "status": lambda code, *fields: "\r\n".join([f"HTTP/1.1 {code} X", *fields, "Content-Length: 0", "", ""]),
     "bytes": lambda count: "x" * int(count),
     "raw": lambda text: text.replace("~", "\r\n").encode().decode("unicode_escape"),
 }
 
 
-class Scene:
-    """One dispatcher and everybody around it."""
+class Scenario:
+    """One dispatcher in a thread, and the sockets of its clients, workers and discovery.
+
+    Args:
+        known: Workers of the list in the configuration, separated by spaces; empty for no list.
+        descriptors: The platform's limit of descriptors.
+        version: Version of the list in the configuration.
+        mgmt: Whether the dispatcher has a management port.
+        passed_fd: Descriptor of a listening socket that the platform passes to the dispatcher.
+        platform_settings: Keys of the platform's settings that replace those of PLATFORM_SETTINGS.
+        loading_s: Seconds between the opening of the sockets and the start of the dispatcher.
+        early_job: Id of a job that client `early` sends while the dispatcher loads; empty for none.
+        early_deadline_ms: Deadline of that job, in milliseconds.
+        bounds: Keys of `bounds` in the platform's settings.
+    """
 
     def __init__(
         self,
@@ -87,89 +137,119 @@
         descriptors: int = 1024,
         version: int = -1,
         mgmt: bool = False,
-        passed: int | None = None,
-        facts: dict[str, Any] | None = None,
-        loading: float = 0.0,
-        early: str = "",
-        patience_ms: int = 3000,
+        passed_fd: int | None = None,
+        platform_settings: dict[str, Any] | None = None,
+        loading_s: float = 0.0,
+        early_job: str = "",
+        early_deadline_ms: int = 3000,
         **bounds: Any,
     ) -> None:
-        self.servers = {n: socket.create_server(("127.0.0.1", 0)) for n in ("w0", "w1", "d", "e")}
+        self.servers = {name: socket.create_server(("127.0.0.1", 0)) for name in ("w0", "w1", "d", "e")}
         self.connections: dict[str, socket.socket] = {}
         self.unread: dict[str, bytes] = {}
-        self.facts = facts = FACTS | {"bounds": FACTS["bounds"] | bounds} | (facts or {})
-        listed = json.loads(self.list(str(version), "whole", *known.split())) if known else None
-        where = self.address("d")
-        at = ("127.0.0.1", 0) if mgmt else None
-        settings = read_settings(facts)
-        config = Config("n0", ("127.0.0.1", 0), where, 1, descriptors, 192, settings, listed, at, passed)
+        self.platform_settings = platform_settings = (
+            PLATFORM_SETTINGS | {"bounds": PLATFORM_SETTINGS["bounds"] | bounds} | (platform_settings or {})
+        )
+        known_list = json.loads(self.list_body(str(version), "whole", *known.split())) if known else None
+        discovery = self.endpoint("d")
+        mgmt_address = ("127.0.0.1", 0) if mgmt else None
+        settings = read_settings(platform_settings)
+        config = Config(
+            "n0",
+            ("127.0.0.1", 0),
+            discovery,
+            1,
+            descriptors,
+            192,
+            settings,
+            known_list,
+            mgmt_address,
+            passed_fd,
+        )
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
 
-        opened = open_sockets(config)
-        if early:  # the job of a client that calls while the process loads
-            client = socket.create_connection(opened.clients.getsockname(), PATIENCE)
-            client.settimeout(PATIENCE)
+        sockets = open_sockets(config)
+        if early_job:
+            client = socket.create_connection(sockets.clients.getsockname(), TIMEOUT_S)
+            client.settimeout(TIMEOUT_S)
             self.connections["early"], self.unread["early"] = client, b""
-            self._send("early", f"job {early} look {patience_ms}")
-        time.sleep(loading)
+            self._send("early", f"job {early_job} look {early_deadline_ms}")
+        time.sleep(loading_s)
 
-        async def begin() -> tuple[Node, tuple[str, int]]:
+        async def start() -> tuple[Node, tuple[str, int]]:
             node = Node(config, self.loop)
-            return node, node.start(opened)
+            return node, node.start(sockets)
 
-        self.node, self.where = asyncio.run_coroutine_threadsafe(begin(), self.loop).result(PATIENCE)
+        self.node, self.client_address = asyncio.run_coroutine_threadsafe(start(), self.loop).result(
+            TIMEOUT_S
+        )
 
-    def address(self, name: str) -> str:
+    def endpoint(self, name: str) -> str:
+        """Return the `host:port` of a worker or a discovery service of the script."""
         host, port = self.servers[name].getsockname()
         return f"{host}:{port}"
 
-    def list(self, version: str, whole: str, *targets: str) -> str:
-        """The body of a list: `w0`, `w0=draining`, `w0=ready@12` for a start at 12 ms."""
+    def list_body(self, version: str, whole: str, *targets: str) -> str:
+        """Return the JSON body of a list from discovery.
+
+        Args:
+            version: Version of the list.
+            whole: `whole` for all entries; otherwise the entries are changes.
+            targets: Entries such as `w0`, `w0=draining`, or `w0=ready@12` for a worker started at 12 ms.
+        """
         entries = []
         for target in targets:
             name, _, state = target.partition("=")
             state, _, boot = state.partition("@")
-            entry = {"uid": name, "endpoint": self.address(name), "az": "atlanta", "pod_group": 0}
+            entry = {"uid": name, "endpoint": self.endpoint(name), "az": "atlanta", "pod_group": 0}
             entries.append(entry | {"state": state or "ready", "boot_ms": int(boot or 0)})
         return json.dumps({"rev": int(version), "all": whole == "whole", "targets": entries})
 
-    def play(self, text: str) -> None:
+    def run_script(self, text: str) -> None:
+        """Run a script line by line.
+
+        Raises:
+            AssertionError: A line failed; the message names the line.
+        """
         for line in filter(None, (raw.partition(" #")[0].strip() for raw in text.splitlines())):
-            who, verb, rest = (*line.split(None, 2), "")[:3]
+            who, verb, arguments = (*line.split(None, 2), "")[:3]
             try:
-                getattr(self, f"_{verb}")(who, rest)
+                getattr(self, f"_{verb}")(who, arguments)
             except (AssertionError, OSError) as error:
                 raise AssertionError(f"at '{line}': {error or type(error).__name__}") from error
 
-    def _at(self, who: str) -> socket.socket:
+    def _connection(self, who: str) -> socket.socket:
+        """Return the connection of that name, opening or accepting it when it is first named."""
         if who not in self.connections:
             name = who.partition("/")[0]
             if name == "p" or name in self.servers:
-                servers = [self.servers[n] for n in (("w0", "w1") if name == "p" else (name,))]
-                ready, _, _ = select.select(servers, (), (), PATIENCE)
-                assert ready, "no connection came"
+                servers = [self.servers[server] for server in (("w0", "w1") if name == "p" else (name,))]
+                ready, _, _ = select.select(servers, (), (), TIMEOUT_S)
+                assert ready, "no connection arrived"
                 connection, _ = ready[0].accept()
-            elif name.startswith("m") and self.node.mgmt is not None:  # a caller of the second address
-                connection = socket.create_connection(self.node.mgmt.address, PATIENCE)
+            elif name.startswith("m") and self.node.mgmt is not None:
+                connection = socket.create_connection(self.node.mgmt.address, TIMEOUT_S)
             else:
-                connection = socket.create_connection(self.where, PATIENCE)
-            connection.settimeout(PATIENCE)
+                connection = socket.create_connection(self.client_address, TIMEOUT_S)
+            connection.settimeout(TIMEOUT_S)
             self.connections[who], self.unread[who] = connection, b""
         return self.connections[who]
 
-    def _send(self, who: str, rest: str) -> None:
-        name, *args = shlex.split(rest)
-        if name == "list":
-            body = self.list(*args)
+    def _send(self, who: str, arguments: str) -> None:
+        """Send a message on a connection; `arguments` names the message and its fields."""
+        message, *args = shlex.split(arguments)
+        if message == "list":
+            body = self.list_body(*args)
             text = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}"
         else:
-            text = MESSAGES[name](*args)
-        self._at(who).sendall(text.encode("latin-1"))
+            text = MESSAGES[message](*args)
+        self._connection(who).sendall(text.encode("latin-1"))
 
     def _expect(self, who: str, pattern: str) -> None:
-        connection = self._at(who)
+        """Read until the pattern matches what is unread, or until the end of the connection."""
+        connection = self._connection(who)
         while pattern == "end" or not (match := re.search(pattern.encode(), self.unread[who], re.S)):
             try:
                 data = connection.recv(65536)
@@ -184,74 +264,90 @@
                 return
         self.unread[who] = self.unread[who][match.end() :]
 
-    def _open(self, who: str, rest: str) -> None:
-        self._at(who)
+    def _open(self, who: str, arguments: str) -> None:
+        """Connect without sending anything."""
+        self._connection(who)
 
-    def _gets(self, who: str, name: str) -> None:
-        self._expect(who, rf"Req-Id: {name}\r\n.*?\r\n\r\n")
+    def _gets(self, who: str, request: str) -> None:
+        """Read the whole head of a request."""
+        self._expect(who, rf"Req-Id: {request}\r\n.*?\r\n\r\n")
 
-    def _close(self, who: str, rest: str) -> None:
+    def _close(self, who: str, arguments: str) -> None:
+        """Close a connection, with a reset if `arguments` is `hard`, or a server without connections."""
         if who in self.servers and who not in self.connections:
             self.servers[who].close()
             return
         connection = self.connections.pop(who)
-        if rest == "hard":
+        if arguments == "hard":
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         connection.close()
 
-    def _wait(self, who: str, rest: str) -> None:
-        name, least = rest.split()
-        end = time.monotonic() + PATIENCE
+    def _wait(self, who: str, arguments: str) -> None:
+        """Wait for a counter or a current value of the report; `arguments` gives its name and number."""
+        name, count = arguments.split()
+        end = time.monotonic() + TIMEOUT_S
         while True:
-            report: Any = asyncio.run_coroutine_threadsafe(self._report(), self.loop).result(PATIENCE)
-            held = report["now"].get(name)
-            if held == int(least) if held is not None else report["counters"].get(name, 0) >= int(least):
+            report: Any = asyncio.run_coroutine_threadsafe(self._report(), self.loop).result(TIMEOUT_S)
+            current = report["now"].get(name)
+            if (
+                current == int(count)
+                if current is not None
+                else report["counters"].get(name, 0) >= int(count)
+            ):
                 return
             assert time.monotonic() < end, f"still {report}"
             time.sleep(0.002)
 
-    def _jam(self, who: str, rest: str) -> None:
+    def _jam(self, who: str, arguments: str) -> None:
+        """Fill the queue of connections of a server."""
         server = self.servers[who]
         server.listen(0)
         for n in range(8):
-            self.connections[f"jam{n}"] = jam = socket.socket()
-            jam.setblocking(False)
-            jam.connect_ex(server.getsockname())
+            self.connections[f"jam{n}"] = connection = socket.socket()
+            connection.setblocking(False)
+            connection.connect_ex(server.getsockname())
 
     async def _report(self) -> dict[str, object]:
+        """Return the dispatcher's report, in its loop."""
         return self.node.report()
 
-    def _drain(self, who: str, rest: str) -> None:
+    def _drain(self, who: str, arguments: str) -> None:
+        """Drain the dispatcher."""
         self.loop.call_soon_threadsafe(self.node.drain)
 
-    def _reload(self, who: str, rest: str) -> None:
-        """The file's address wins over the environment's, which can't change while a process runs."""
-        config = {"name": "n0", "listen": "127.0.0.1:0", "settings": self.facts}
-        config |= {"discovery": self.address(rest)} if rest else {"limits": {"sockets": "many"}}
+    def _reload(self, who: str, arguments: str) -> None:
+        """Reload from a configuration file.
+
+        Its discovery address takes precedence over that of the environment, which cannot change while a
+        process runs.
+        """
+        config = {"name": "n0", "listen": "127.0.0.1:0", "settings": self.platform_settings}
+        config |= {"discovery": self.endpoint(arguments)} if arguments else {"limits": {"sockets": "many"}}
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump(config, file)
             file.flush()
-            environ = {"RELAY_CONFIG": file.name, "RELAY_DISCOVERY": self.address("d")}
+            environ = {"RELAY_CONFIG": file.name, "RELAY_DISCOVERY": self.endpoint("d")}
 
             async def reload() -> None:
                 self.node.reload(ConfigSources(environ))
 
-            asyncio.run_coroutine_threadsafe(reload(), self.loop).result(PATIENCE)
+            asyncio.run_coroutine_threadsafe(reload(), self.loop).result(TIMEOUT_S)
 
     def close(self) -> None:
-        end_node(self.node, self.loop, self.thread)
-        for s in [*self.connections.values(), *self.servers.values()]:
-            s.close()
+        """Close the dispatcher, its loop and thread, and all sockets."""
+        close_node(self.node, self.loop, self.thread)
+        for sock in [*self.connections.values(), *self.servers.values()]:
+            sock.close()
 
 
-def end_node(node: Node, loop: asyncio.AbstractEventLoop, thread: threading.Thread) -> None:
-    """Close a dispatcher that runs on a loop in a thread, and both."""
+def close_node(node: Node, loop: asyncio.AbstractEventLoop, thread: threading.Thread) -> None:
+    """Close a dispatcher that runs on the loop of a thread, then end the loop and the thread."""
 
-    async def end() -> None:
+    async def close() -> None:
         node.close()
         await asyncio.sleep(0)
 
-    asyncio.run_coroutine_threadsafe(end(), loop).result(PATIENCE)
+    asyncio.run_coroutine_threadsafe(close(), loop).result(TIMEOUT_S)
     loop.call_soon_threadsafe(loop.stop)
-    thread.join(PATIENCE)
+    thread.join(TIMEOUT_S)
     loop.close()
--- a/tests/test_address_node.py
+++ b/tests/test_address_node.py
@@ -16,10 +16,10 @@
 import pytest
 from test_cli import VALID_CONFIG
 
-from benchmarks.address import Jobs
+from benchmarks.address import JobClients
 from wickgw.address.keys import add_key
-from wickgw.emulator.group import ADDRESS, Instances, free_port
-from wickgw.emulator.probe import Probe
+from wickgw.emulator.dispatcher_processes import ADDRESS_NAME, DispatcherProcesses, free_port
+from wickgw.emulator.probe import AddressProbe
 
 MAX_OVERLAP_S = 0.02  # as seen by a client: no overlap but for the time that it takes to read
 MAX_RECOVERY_S = 3.0
@@ -27,93 +27,101 @@
 
 
 @pytest.fixture(scope="module")
-def trio(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Instances]:
-    instances = Instances(tmp_path_factory.mktemp("trio"), run_s=0.03)
+def trio(tmp_path_factory: pytest.TempPathFactory) -> Iterator[DispatcherProcesses]:
+    instances = DispatcherProcesses(tmp_path_factory.mktemp("trio"), job_run_s=0.03)
     instances.start()
     yield instances
     instances.close()
 
 
 @pytest.fixture
-def probe(trio: Instances) -> Iterator[Probe]:
-    trio.settled(20)
-    probe = Probe(trio.service, ADDRESS)
-    probe.wait_for(None, time.monotonic())
+def probe(trio: DispatcherProcesses) -> Iterator[AddressProbe]:
+    trio.wait_until_settled(20)
+    probe = AddressProbe(trio.service_address, ADDRESS_NAME)
+    probe.wait_for_answer(None, time.monotonic())
     yield probe
     probe.close()
 
 
-def test_killed_holder_is_replaced(trio: Instances, probe: Probe) -> None:
-    holder, start = trio.holder(), time.monotonic()
+def test_killed_holder_is_replaced(trio: DispatcherProcesses, probe: AddressProbe) -> None:
+    holder, start = trio.wait_for_holder(), time.monotonic()
     trio.kill(holder)
-    assert probe.wait_for(None, start, but=holder).answered - start < MAX_RECOVERY_S
+    assert probe.wait_for_answer(None, start, excluding=holder).answered_at - start < MAX_RECOVERY_S
     trio.start(holder)
-    assert probe.overlap() <= MAX_OVERLAP_S
+    assert probe.longest_overlap_s() <= MAX_OVERLAP_S
 
 
 @pytest.mark.parametrize("seconds", [0.08, 3.0])
 def test_stalled_holder_does_not_answer_once_another_holds_the_address(
-    trio: Instances, probe: Probe, seconds: float
+    trio: DispatcherProcesses, probe: AddressProbe, seconds: float
 ) -> None:
-    holder, start = trio.holder(), time.monotonic()
+    holder, start = trio.wait_for_holder(), time.monotonic()
     trio.stall(holder, seconds)
     woken_at = time.monotonic()
-    seen = probe.wait_for(None, woken_at)
+    seen = probe.wait_for_answer(None, woken_at)
     assert (seen.name == holder) is (seconds < 0.5)
     if seconds > 1:
-        assert probe.wait_for(None, start, but=holder).answered - start < MAX_RECOVERY_S
-        trio.holder(but=holder)
+        assert probe.wait_for_answer(None, start, excluding=holder).answered_at - start < MAX_RECOVERY_S
+        trio.wait_for_holder(excluding=holder)
     PAUSE.wait(0.3)
-    assert probe.overlap() <= MAX_OVERLAP_S
+    assert probe.longest_overlap_s() <= MAX_OVERLAP_S
 
 
-def test_only_the_majority_serves_the_address_in_a_partition(trio: Instances, probe: Probe) -> None:
-    holder, start = trio.holder(), time.monotonic()
+def test_only_the_majority_serves_the_address_in_a_partition(
+    trio: DispatcherProcesses, probe: AddressProbe
+) -> None:
+    holder, start = trio.wait_for_holder(), time.monotonic()
     trio.relay.isolate(holder)
-    first_answer = probe.wait_for(None, start, but=holder)
+    first_answer = probe.wait_for_answer(None, start, excluding=holder)
     PAUSE.wait(1.0)  # time for both parts to answer
     status = trio.status(holder)
-    trio.relay.mend()
-    assert first_answer.answered - start < MAX_RECOVERY_S and probe.overlap() <= MAX_OVERLAP_S
-    assert status is not None and "no majority" in status["addresses"][ADDRESS]["why"]  # type: ignore[index]
-    assert not [seen for seen in probe.seen if seen.name == holder and seen.asked > first_answer.answered]
+    trio.relay.heal()
+    assert first_answer.answered_at - start < MAX_RECOVERY_S and probe.longest_overlap_s() <= MAX_OVERLAP_S
+    assert status is not None and "no majority" in status["addresses"][ADDRESS_NAME]["why"]  # type: ignore[index]
+    assert not [
+        seen for seen in probe.answers if seen.name == holder and seen.sent_at > first_answer.answered_at
+    ]
 
 
-def test_holder_that_hears_no_other_instance_loses_the_address(trio: Instances, probe: Probe) -> None:
+def test_holder_that_hears_no_other_instance_loses_the_address(
+    trio: DispatcherProcesses, probe: AddressProbe
+) -> None:
     """All instances hear the holder, but the holder hears none of them. Unless the holder stops asking for
     votes, its voters stay bound to it for ever."""
-    holder, start = trio.holder(), time.monotonic()
-    trio.relay.cut(*((other, holder) for other in trio.names if other != holder))
-    first_answer = probe.wait_for(None, start, but=holder, patience=6)
-    trio.relay.mend()
-    assert first_answer.answered - start < MAX_RECOVERY_S and probe.overlap() <= MAX_OVERLAP_S
+    holder, start = trio.wait_for_holder(), time.monotonic()
+    trio.relay.block(*((other, holder) for other in trio.names if other != holder))
+    first_answer = probe.wait_for_answer(None, start, excluding=holder, timeout_s=6)
+    trio.relay.heal()
+    assert first_answer.answered_at - start < MAX_RECOVERY_S and probe.longest_overlap_s() <= MAX_OVERLAP_S
 
 
-def test_planned_handover_loses_no_request_and_leaves_no_gap(trio: Instances, probe: Probe) -> None:
-    holder, jobs = trio.holder(), Jobs(trio.service, 4)
+def test_planned_handover_loses_no_request_and_leaves_no_gap(
+    trio: DispatcherProcesses, probe: AddressProbe
+) -> None:
+    holder, jobs = trio.wait_for_holder(), JobClients(trio.service_address, 4)
     PAUSE.wait(0.3)
     start = time.monotonic()
     trio.signal(holder, signal.SIGTERM)
-    first_answer = probe.wait_for(None, start, but=holder)
+    first_answer = probe.wait_for_answer(None, start, excluding=holder)
     PAUSE.wait(0.4)
     jobs.close()
     assert not jobs.lost and {status for _, status in jobs.answers} == {200}
-    assert probe.away(start, first_answer.answered + 0.2) <= 0.1
-    run_counts = [count for worker in trio.workers for count in worker.runs.values()]
+    assert probe.longest_outage_s(start, first_answer.answered_at + 0.2) <= 0.1
+    run_counts = [count for worker in trio.workers for count in worker.run_counts.values()]
     assert max(run_counts) == 1
     assert trio.processes[holder].wait(10) == 0
     trio.start(holder)
 
 
-def test_instance_with_a_wrong_key_neither_votes_nor_serves(trio: Instances) -> None:
-    trio.settled(20)
-    name = next(candidate for candidate in trio.names if candidate != trio.holder())
+def test_instance_with_a_wrong_key_neither_votes_nor_serves(trio: DispatcherProcesses) -> None:
+    trio.wait_until_settled(20)
+    name = next(candidate for candidate in trio.names if candidate != trio.wait_for_holder())
     trio.kill(name)
     wrong_key = trio.folder / "wrong.key"
     add_key(wrong_key)
     ini_path = trio.folder / f"{name}.ini"
     valid_text = ini_path.read_text()
-    ini_path.write_text(valid_text.replace(str(trio.key), str(wrong_key)))
+    ini_path.write_text(valid_text.replace(str(trio.key_file), str(wrong_key)))
     trio.start(name)
     deadline = time.monotonic() + 10
     while not (status := trio.status(name)) or not status["wire"].get("dropped.unknown-key"):  # type: ignore[attr-defined]
@@ -121,11 +129,11 @@
     assert all(member["state"] == "dead" for member in status["members"].values())  # type: ignore[attr-defined]
     ini_path.write_text(valid_text)
     trio.signal(name, signal.SIGHUP)  # the reload applies the right key
-    trio.settled(20)
+    trio.wait_until_settled(20)
 
 
-def test_reload_reports_the_settings_that_it_does_not_apply(trio: Instances) -> None:
-    holder = trio.settled(20)
+def test_reload_reports_the_settings_that_it_does_not_apply(trio: DispatcherProcesses) -> None:
+    holder = trio.wait_until_settled(20)
     ini_path = trio.folder / f"{holder}.ini"
     text = ini_path.read_text()
     ini_path.write_text(text.replace("hold_down_s = 1", "hold_down_s = 2\nbeat_ms = 120"))
@@ -143,18 +151,18 @@
 
 
 def test_status_says_that_the_address_is_in_use_and_an_instance_takes_it_later(tmp_path: Path) -> None:
-    instances = Instances(tmp_path)
+    instances = DispatcherProcesses(tmp_path)
     try:
-        with socket.create_server(instances.service):  # without SO_REUSEPORT: no instance can bind
+        with socket.create_server(instances.service_address):  # without SO_REUSEPORT: no instance can bind
             instances.start()
             deadline = time.monotonic() + 20
             while True:
                 statuses = [instances.status(name) for name in instances.names]
-                reasons = [status["addresses"][ADDRESS]["why"] for status in statuses if status]  # type: ignore[index]
+                reasons = [status["addresses"][ADDRESS_NAME]["why"] for status in statuses if status]  # type: ignore[index]
                 if any("Address already in use" in reason for reason in reasons):
                     break
                 assert time.monotonic() < deadline, reasons
-        assert instances.holder(40)
+        assert instances.wait_for_holder(40)
     finally:
         instances.close()
 
@@ -172,7 +180,7 @@
     program.write_text(ANNOUNCER_SCRIPT.format(folder=tmp_path, python=sys.executable))
     program.chmod(program.stat().st_mode | stat.S_IXUSR)
     extra = f"announce = program\nprogram = {program}\nprogram_timeout_ms = 300"
-    instances = Instances(tmp_path, service_extra=extra)
+    instances = DispatcherProcesses(tmp_path, service_options=extra)
     (tmp_path / "fail").touch()
     try:
         instances.start()
@@ -188,12 +196,12 @@
         wait_for("took longer than 0.3 s")
         assert not any("lease.held" in log.read_text() for log in logs)
         (tmp_path / "hang").unlink()
-        holder = instances.holder(40)
+        holder = instances.wait_for_holder(40)
         instances.signal(holder, signal.SIGTERM)
         assert instances.processes[holder].wait(20) == 0
         calls = [line.split() for line in (tmp_path / "calls").read_text().splitlines()]
-        at = "{}:{}".format(*instances.service)
-        assert all(call[1:3] == [ADDRESS, at] and int(call[3]) for call in calls)
+        at = "{}:{}".format(*instances.service_address)
+        assert all(call[1:3] == [ADDRESS_NAME, at] and int(call[3]) for call in calls)
         assert {call[0] for call in calls} == {"add", "remove"}
     finally:
         instances.close()
@@ -305,15 +313,15 @@
     subprocess.run([sys.executable, "-c", code], check=True, cwd=root, timeout=60)
 
 
-def test_status_command_prints_the_status_or_one_error_line(trio: Instances) -> None:
-    holder = trio.settled(20)
+def test_status_command_prints_the_status_or_one_error_line(trio: DispatcherProcesses) -> None:
+    holder = trio.wait_until_settled(20)
 
     def status(endpoint: str, *more_options: str) -> "subprocess.CompletedProcess[str]":
         command = [sys.executable, "-m", "wickgw", "address", "status", "--at", endpoint, *more_options]
         return subprocess.run(command, capture_output=True, text=True, timeout=60)
 
-    holder_endpoint = "{}:{}".format(*trio.own[holder])
-    assert f"{ADDRESS}: held, lease for" in status(holder_endpoint).stdout
+    holder_endpoint = "{}:{}".format(*trio.listen_addresses[holder])
+    assert f"{ADDRESS_NAME}: held, lease for" in status(holder_endpoint).stdout
     assert json.loads(status(holder_endpoint, "--json").stdout)["me"] == holder
     assert status("nowhere").returncode == 2
     unreachable = status(f"127.0.0.1:{free_port(socket.SOCK_STREAM)}")
@@ -321,7 +329,7 @@
 
 
 def test_restart_with_a_state_file_votes_at_once_and_an_unwritable_file_is_survived(tmp_path: Path) -> None:
-    instances = Instances(tmp_path)
+    instances = DispatcherProcesses(tmp_path)
     for name in instances.names:
         ini_path = tmp_path / f"{name}.ini"
         state_file = tmp_path / f"{name}.votes" if name != "c" else tmp_path / "none" / "votes"
@@ -330,7 +338,7 @@
         )
     try:
         instances.start()
-        holder = instances.settled(20)
+        holder = instances.wait_until_settled(20)
         voter = next(name for name in "ab" if name != holder)
         assert "state.unknown" in (tmp_path / f"{voter}.log").read_text()
         # The other two form a majority, so this voter may still be quiet and have no votes to read back.
@@ -344,11 +352,11 @@
             assert time.monotonic() < deadline
         lines = [line for line in log_path.read_text().splitlines() if "group.began" in line]
         assert "quiet_s=1.01" in lines[0] and "quiet_s=0.0" in lines[1]
-        assert instances.holder() == holder
+        assert instances.wait_for_holder() == holder
         # c can't write its votes: it must log that, go on without a file, and still count for the majority.
         if holder != "c":
             instances.kill(holder)
-            instances.holder(20, but=holder)
+            instances.wait_for_holder(20, excluding=holder)
         deadline = time.monotonic() + 20
         while "state.failed" not in (tmp_path / "c.log").read_text():
             assert time.monotonic() < deadline
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from scenario import FACTS, HEAD, MESSAGES, PATIENCE, job
+from scenario import MESSAGES, PLATFORM_SETTINGS, RESPONSE_HEAD, TIMEOUT_S, job_request
 
 VALID_CONFIG: dict[str, Any] = {
     "name": "n0",
@@ -21,7 +21,7 @@
     "discovery": "127.0.0.1:9",
     "seed": "8c1f30d27a5be964",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-    "settings": FACTS,
+    "settings": PLATFORM_SETTINGS,
 }
 
 
@@ -50,8 +50,8 @@
         match = next(
             filter(None, (re.search(r"node.listening.* at=([0-9.]+):([0-9]+)", line) for line in lines))
         )
-        with socket.create_connection((match[1], int(match[2])), PATIENCE) as client:
-            client.settimeout(PATIENCE)
+        with socket.create_connection((match[1], int(match[2])), TIMEOUT_S) as client:
+            client.settimeout(TIMEOUT_S)
             yield process, client
     finally:
         process.kill()
@@ -73,7 +73,7 @@
         (VALID_CONFIG | {"limits": {"memory_mb": -1}}, "limits.memory_mb"),
         ("[" * 100_000, "not JSON"),
         ({key: value for key, value in VALID_CONFIG.items() if key != "settings"}, "settings"),
-        (VALID_CONFIG | {"settings": FACTS | {"services": []}}, "classes"),
+        (VALID_CONFIG | {"settings": PLATFORM_SETTINGS | {"services": []}}, "classes"),
         (VALID_CONFIG | {"settings": 7}, "config.json"),
     ],
 )
@@ -187,14 +187,14 @@
         target = {"uid": "w0", "endpoint": f"{host}:{port}", "az": "atlanta", "state": "ready", "boot_ms": 0}
         known = {"rev": 1, "all": True, "targets": [target]}
         with serving(tmp_path / "config.json", VALID_CONFIG | {"known": known}) as (process, client):
-            client.sendall(job("7", "once").encode())
-            listener.settimeout(PATIENCE)
+            client.sendall(job_request("7", "once").encode())
+            listener.settimeout(TIMEOUT_S)
             worker, _ = listener.accept()
             with worker:
-                worker.settimeout(PATIENCE)
+                worker.settimeout(TIMEOUT_S)
                 assert worker.recv(65536)
                 process.send_signal(signal.SIGTERM)
-                worker.sendall((HEAD + MESSAGES["done"]("7")).encode())
+                worker.sendall((RESPONSE_HEAD + MESSAGES["done"]("7")).encode())
                 answer = client.recv(65536)
                 assert answer.startswith(b"HTTP/1.1 200") and answer.endswith(b"made")
                 out, _ = process.communicate(timeout=30)
@@ -209,8 +209,8 @@
         target = {"uid": "w0", "endpoint": f"{host}:{port}", "state": "ready"}
         known = {"rev": 1, "all": True, "targets": [target]}
         with serving(tmp_path / "config.json", VALID_CONFIG | {"known": known}) as (process, client):
-            client.sendall(job("7", "once", "60000").encode())
-            listener.settimeout(PATIENCE)
+            client.sendall(job_request("7", "once", "60000").encode())
+            listener.settimeout(TIMEOUT_S)
             worker, _ = listener.accept()
             with worker:
                 process.send_signal(signal.SIGTERM)
@@ -273,10 +273,10 @@
             json.dumps(VALID_CONFIG | {"discovery": "{}:{}".format(*new_discovery.getsockname())})
         )
         process.send_signal(signal.SIGHUP)
-        new_discovery.settimeout(PATIENCE)
+        new_discovery.settimeout(TIMEOUT_S)
         connection, _ = new_discovery.accept()
         with connection:
-            connection.settimeout(PATIENCE)
+            connection.settimeout(TIMEOUT_S)
             assert connection.recv(65536).startswith(b"GET /api/targets HTTP/1.1\r\n")
         client.sendall(MESSAGES["get"]("/-/counters").encode())
         answer = client.recv(65536)
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import read_known_red
+from conftest import read_known_failures
 
 from wickgw.config.reference import reference
 
@@ -44,7 +44,7 @@
     (tmp_path / "tests").mkdir()
     (tmp_path / "tests" / "test_a.py").write_text("def test_one() -> None: ...\n")
     good = "tests/test_a.py::test_one | a cause | 29"
-    (red,) = read_known_red(f"{good}\n\n", tmp_path)
+    (red,) = read_known_failures(f"{good}\n\n", tmp_path)
     assert (red.test, red.cause, red.issue) == ("tests/test_a.py::test_one", "a cause", "29")
     for old, new in (
         ("one", "none"),
@@ -54,4 +54,4 @@
         (good, f"{good}\n{good}"),
     ):
         with pytest.raises(ValueError):
-            read_known_red(good.replace(old, new), tmp_path)
+            read_known_failures(good.replace(old, new), tmp_path)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 import pytest
-from scenario import FACTS, MESSAGES, MS, PATIENCE, Scene, job
+from scenario import MESSAGES, NS_PER_MS, PLATFORM_SETTINGS, TIMEOUT_S, Scenario, job_request
 
 from wickgw.net import clients, discovery, http, watch_timing, worker_connection
 from wickgw.net.sockets import Connection
@@ -24,19 +24,21 @@
 from wickgw.platform_data import read_settings
 
 PUSHED: dict[str, Any] = {"discovery": "push", "siblings": 200}
-SLOW_TO_OPEN: dict[str, Any] = {"bounds": FACTS["bounds"] | {"connect-timeout-ns": 10_000 * MS}}
+SLOW_TO_OPEN: dict[str, Any] = {
+    "bounds": PLATFORM_SETTINGS["bounds"] | {"connect-timeout-ns": 10_000 * NS_PER_MS}
+}
 
 
 def play_scene(text: str, **options: Any) -> None:
-    scene = Scene(**options)
+    scene = Scenario(**options)
     try:
-        scene.play(text)
+        scene.run_script(text)
     finally:
         scene.close()
 
 
 def drain_grace(seconds: float) -> dict[str, Any]:
-    return {"rules": {"drain-grace-ns": int(seconds * 1000 * MS)}}
+    return {"rules": {"drain-grace-ns": int(seconds * 1000 * NS_PER_MS)}}
 
 
 class ConnectGate:
@@ -57,13 +59,13 @@
         self.original: Callable[[WorkerConnection], None] = original
         monkeypatch.setattr(WorkerConnection, "_connected", connected)
 
-    def wait(self, scene: Scene, count: int) -> None:
-        end = time.monotonic() + PATIENCE
+    def wait(self, scene: Scenario, count: int) -> None:
+        end = time.monotonic() + TIMEOUT_S
         while len(self.held) < count:
             assert time.monotonic() < end, "no connection is opening"
-            scene.play("node wait taken 0")
+            scene.run_script("node wait taken 0")
 
-    def open(self, scene: Scene) -> None:
+    def open(self, scene: Scenario) -> None:
         self.is_closed = False
 
         async def release() -> None:
@@ -71,7 +73,7 @@
                 if connection.sock is not None:
                     self.original(connection)
 
-        asyncio.run_coroutine_threadsafe(release(), scene.loop).result(PATIENCE)
+        asyncio.run_coroutine_threadsafe(release(), scene.loop).result(TIMEOUT_S)
 
 
 @pytest.fixture
@@ -79,22 +81,22 @@
     yield ConnectGate(monkeypatch)
 
 
-def wait_until_read(scene: Scene) -> None:
+def wait_until_read(scene: Scenario) -> None:
     """Wait until the dispatcher has read all earlier input: it has answered a later request."""
-    scene.play("z send get /-/healthy\nz expect ok")
+    scene.run_script("z send get /-/healthy\nz expect ok")
 
 
 @contextlib.contextmanager
-def blocked_loop(scene: Scene) -> Iterator[None]:
+def blocked_loop(scene: Scenario) -> Iterator[None]:
     """Block the dispatcher's event loop, so that all input stays unread."""
     is_blocked, release = threading.Event(), threading.Event()
 
     def block() -> None:
         is_blocked.set()
-        release.wait(PATIENCE)
+        release.wait(TIMEOUT_S)
 
     scene.loop.call_soon_threadsafe(block)
-    assert is_blocked.wait(PATIENCE)
+    assert is_blocked.wait(TIMEOUT_S)
     try:
         yield
     finally:
@@ -112,7 +114,9 @@
 ) -> None:
     """For any settings: the timeout of a watch, the pause, and the call that fetches the change fit."""
     timing = WatchTiming(
-        read_settings(FACTS | {"discovery": list_mode, "siblings": siblings} | drain_grace(grace_s))
+        read_settings(
+            PLATFORM_SETTINGS | {"discovery": list_mode, "siblings": siblings} | drain_grace(grace_s)
+        )
     )
     deadline = watch_timing.CHANGE_DELIVERY_S + grace_s  # counted from the call, which stays silent
     watch_timeout = sum(timing.watch)
@@ -139,11 +143,11 @@
     """With pauses of 3 to 7 s, each of 200 dispatchers would send to draining workers for as long."""
     pauses = list[tuple[float, float]]()
     monkeypatch.setattr(random, "uniform", lambda a, b: pauses.append((a, b)) or b)  # type: ignore[func-returns-value]
-    scene = Scene(known="", facts=PUSHED)
+    scene = Scenario(known="", platform_settings=PUSHED)
     try:
-        scene.play("d send list 5 whole w0 w1\nd expect index=5&\nd close hard")
-        scene.play("d/2 expect index=5&\nd/2 send list 6 part w0=draining\nd/2 expect index=6&")
-        scene.play("a send job 1\nw1 gets 1")
+        scene.run_script("d send list 5 whole w0 w1\nd expect index=5&\nd close hard")
+        scene.run_script("d/2 expect index=5&\nd/2 send list 6 part w0=draining\nd/2 expect index=6&")
+        scene.run_script("a send job 1\nw1 gets 1")
         assert pauses[0] == (0.025, 0.05)
     finally:
         scene.close()
@@ -165,14 +169,14 @@
         w1 gets 1
         """,
         known="",
-        facts=PUSHED | drain_grace(0.4),
+        platform_settings=PUSHED | drain_grace(0.4),
     )
 
 
 def test_agent_whose_connection_never_comes_up_is_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """The first connection after the loss is kept from opening; the next one opens."""
     scene, original, calls = (
-        Scene(known="", facts=PUSHED | drain_grace(0.4)),
+        Scenario(known="", platform_settings=PUSHED | drain_grace(0.4)),
         discovery.Discovery._writable,
         [0],
     )
@@ -185,9 +189,9 @@
             self.loop.remove_writer(self.connecting_socket.fileno())
 
     try:
-        scene.play("d send list 5 whole w0 w1\nd expect index=5&")
+        scene.run_script("d send list 5 whole w0 w1\nd expect index=5&")
         monkeypatch.setattr(discovery.Discovery, "_writable", writable)
-        scene.play("d close hard\nd/2 expect end\nd/3 expect index=5&")
+        scene.run_script("d close hard\nd/2 expect end\nd/3 expect index=5&")
     finally:
         scene.close()
 
@@ -201,7 +205,7 @@
     monkeypatch.setattr(random, "uniform", lambda a, b: pauses.append((a, b)) or a)  # type: ignore[func-returns-value]
     play_scene(
         "d send list 5 whole w1\nd expect index=5\nd/2 expect index=5\nd/3 expect index=5",
-        facts={"discovery": "ask", "siblings": 200},
+        platform_settings={"discovery": "ask", "siblings": 200},
     )
     assert pauses[:2] == [(0.0, watch_timing.IMMEDIATE_RETRY_S)] * 2
 
@@ -211,8 +215,8 @@
 ) -> None:
     """Changes that the agent has count as delivered from the start of a process, and it answers at once."""
     # Long timeouts, so that the scene can hold the agent's answer back.
-    monkeypatch.setattr(watch_timing, "FIRST_ANSWER_TIMEOUT_S", PATIENCE)
-    monkeypatch.setattr(watch_timing, "MIN_ANSWER_TIMEOUT_S", PATIENCE)
+    monkeypatch.setattr(watch_timing, "FIRST_ANSWER_TIMEOUT_S", TIMEOUT_S)
+    monkeypatch.setattr(watch_timing, "MIN_ANSWER_TIMEOUT_S", TIMEOUT_S)
     monkeypatch.setattr(watch_timing, "AIM_TO_FIRST_ANSWER_RATIO", 0.001)
     play_scene(
         """
@@ -227,12 +231,12 @@
         d expect index=9&wait=3000
         """,
         version=7,
-        facts=PUSHED,
+        platform_settings=PUSHED,
     )
 
 
 def test_new_process_serves_by_the_old_list_if_the_agent_is_silent() -> None:
-    play_scene("a send job 1\nw0 gets 1\nw0 send serve 1\na expect made", facts=PUSHED)
+    play_scene("a send job 1\nw0 gets 1\nw0 send serve 1\na expect made", platform_settings=PUSHED)
 
 
 def test_after_sighup_the_new_agent_is_asked_until_it_answers() -> None:
@@ -251,7 +255,7 @@
         w1 gets 1
         """,
         known="",
-        facts=PUSHED | drain_grace(0.4),
+        platform_settings=PUSHED | drain_grace(0.4),
     )
 
 
@@ -263,16 +267,16 @@
 def test_try_whose_connection_still_opens_is_not_written_to_a_worker_that_drains(
     connect_gate: ConnectGate, list_change: str, cls: str
 ) -> None:
-    scene = Scene(facts=SLOW_TO_OPEN)
+    scene = Scenario(platform_settings=SLOW_TO_OPEN)
     try:
-        scene.play(f"d send list 5 whole w0\nd expect index=5\na send job 1 {cls} 4000")
+        scene.run_script(f"d send list 5 whole w0\nd expect index=5\na send job 1 {cls} 4000")
         connect_gate.wait(scene, 1)
         connect_gate.is_closed = False
         # The job never ran, so another worker gets it.
-        scene.play(f"d send list 6 part {list_change}\nd expect index=6\nw1 gets 1")
+        scene.run_script(f"d send list 6 part {list_change}\nd expect index=6\nw1 gets 1")
         connect_gate.open(scene)
         wait_until_read(scene)
-        scene.play("w1 send serve 1\na expect made\nnode wait try.moot 1\nw0 expect end")
+        scene.run_script("w1 send serve 1\na expect made\nnode wait try.moot 1\nw0 expect end")
     finally:
         scene.close()
 
@@ -281,14 +285,14 @@
 def test_try_whose_connection_still_opens_is_not_written_for_a_client_that_left(
     connect_gate: ConnectGate, close_action: str
 ) -> None:
-    scene = Scene(facts=SLOW_TO_OPEN)
+    scene = Scenario(platform_settings=SLOW_TO_OPEN)
     try:
-        scene.play("d send list 5 whole w0\nd expect index=5\na send job 1 once 4000")
+        scene.run_script("d send list 5 whole w0\nd expect index=5\na send job 1 once 4000")
         connect_gate.wait(scene, 1)
-        scene.play(f"a {close_action}\nnode wait answer.client_left 1")
+        scene.run_script(f"a {close_action}\nnode wait answer.client_left 1")
         connect_gate.open(scene)
         wait_until_read(scene)
-        scene.play("w0 expect end\nnode wait try.moot 1\nnode wait peer_connections 0")
+        scene.run_script("w0 expect end\nnode wait try.moot 1\nnode wait peer_connections 0")
     finally:
         scene.close()
 
@@ -296,13 +300,13 @@
 def test_try_whose_connection_still_opens_goes_to_the_worker_that_started_anew_by_a_new_one(
     connect_gate: ConnectGate,
 ) -> None:
-    scene = Scene(known="", facts=SLOW_TO_OPEN)
+    scene = Scenario(known="", platform_settings=SLOW_TO_OPEN)
     try:
-        scene.play("d send list 5 whole w0=ready@1000\nd expect index=5\na send job 1 once 4000")
+        scene.run_script("d send list 5 whole w0=ready@1000\nd expect index=5\na send job 1 once 4000")
         connect_gate.wait(scene, 1)
         connect_gate.is_closed = False
-        scene.play("d send list 6 part w0=ready@2000\nd expect index=6\nw0 expect end\nw0/2 gets 1")
-        scene.play("w0/2 send serve 1\na expect made\nnode wait try.moot 1\nnode wait tries 2")
+        scene.run_script("d send list 6 part w0=ready@2000\nd expect index=6\nw0 expect end\nw0/2 gets 1")
+        scene.run_script("w0/2 send serve 1\na expect made\nnode wait try.moot 1\nnode wait tries 2")
     finally:
         scene.close()
 
@@ -315,7 +319,7 @@
 ) -> None:
     """A worker declines the first job, and repeats that answer some milliseconds later. A non-idempotent job
     sent on the connection in between would count as never run, and would run a second time elsewhere."""
-    monkeypatch.setattr(worker_connection, "QUARANTINE_S", PATIENCE)
+    monkeypatch.setattr(worker_connection, "QUARANTINE_S", TIMEOUT_S)
     play_scene(
         """
         d send list 5 whole w0
@@ -342,7 +346,7 @@
 ) -> None:
     """Both workers hand a non-idempotent job back. If it returned to the first worker on the same connection,
     a duplicate of the first answer would report that it never ran, while it runs."""
-    monkeypatch.setattr(worker_connection, "QUARANTINE_S", PATIENCE)
+    monkeypatch.setattr(worker_connection, "QUARANTINE_S", TIMEOUT_S)
     play_scene(
         """
         d send list 5 whole w0 w1
@@ -367,53 +371,53 @@
 
 def test_client_that_leaves_behind_much_that_it_sent_is_seen_to_leave() -> None:
     """Guards against a pause in reading, which would hide the disconnect while the request waits."""
-    scene = Scene(known="")  # without a worker the request is held
+    scene = Scenario(known="")  # without a worker the request is held
     try:
-        scene.play("d send list 5 whole\na send job 1 once 4000\nnode wait owed 1")
+        scene.run_script("d send list 5 whole\na send job 1 once 4000\nnode wait owed 1")
         try:
-            scene.play(f"a send bytes {http.MAX_HEAD_BYTES * 4}")
+            scene.run_script(f"a send bytes {http.MAX_HEAD_BYTES * 4}")
         finally:
-            scene.play("a close")
-        scene.play("node wait answer.client_left 1\nnode wait owed 0")
+            scene.run_script("a close")
+        scene.run_script("node wait answer.client_left 1\nnode wait owed 0")
     finally:
         scene.close()
 
 
 @pytest.mark.parametrize("close_mode", ["fin", "half", "reset"])
 def test_request_held_while_its_client_leaves_is_never_sent(close_mode: str) -> None:
-    scene = Scene(known="")
+    scene = Scenario(known="")
     try:
-        scene.play("d send list 5 whole\nd expect index=5\na send job 1 once 4000\nnode wait owed 1")
+        scene.run_script("d send list 5 whole\nd expect index=5\na send job 1 once 4000\nnode wait owed 1")
         client_socket = scene.connections["a"]
         if close_mode == "half":
             client_socket.shutdown(socket.SHUT_WR)
         else:
-            scene.play("a close" if close_mode == "fin" else "a close hard")
-        scene.play(
+            scene.run_script("a close" if close_mode == "fin" else "a close hard")
+        scene.run_script(
             "node wait answer.client_left 1\nnode wait owed 0\nd send list 6 part w0\nd expect index=6"
         )
-        scene.play("b send job 2\nw0 gets 2\nnode wait tries 1")
+        scene.run_script("b send job 2\nw0 gets 2\nnode wait tries 1")
     finally:
         scene.close()
 
 
 def test_request_whose_client_left_before_it_was_read_is_never_sent() -> None:
     """Request and disconnect are both unread while the event loop is blocked."""
-    scene = Scene()
+    scene = Scenario()
     try:
-        scene.play("d send list 5 whole w0\nd expect index=5\na open\nnode wait client_connections 1")
+        scene.run_script("d send list 5 whole w0\nd expect index=5\na open\nnode wait client_connections 1")
         with blocked_loop(scene):
-            scene.play("a send job 1 once 4000\na close")
-        scene.play("node wait left_unread 1\nb send job 2\nw0 gets 2\nnode wait tries 1")
+            scene.run_script("a send job 1 once 4000\na close")
+        scene.run_script("node wait left_unread 1\nb send job 2\nw0 gets 2\nnode wait tries 1")
     finally:
         scene.close()
 
 
 def test_client_that_ends_its_side_with_answers_unread_has_left_all_the_same() -> None:
     """The transport closes only once the answers are read, but the pending request does not wait for that."""
-    scene = Scene(known="")  # without a worker the request is held
+    scene = Scenario(known="")  # without a worker the request is held
     try:
-        scene.play("d send list 5 whole\nd expect index=5\na open\nnode wait client_connections 1")
+        scene.run_script("d send list 5 whole\nd expect index=5\na open\nnode wait client_connections 1")
         client_socket = scene.connections["a"]
         client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
         # Without it the requests would arrive all at once.
@@ -426,20 +430,20 @@
             connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             return connection.unwritten_bytes
 
-        while asyncio.run_coroutine_threadsafe(unwritten(), scene.loop).result(PATIENCE) < 200_000:
+        while asyncio.run_coroutine_threadsafe(unwritten(), scene.loop).result(TIMEOUT_S) < 200_000:
             client_socket.sendall(MESSAGES["get"]("/-/counters").encode() * 20)
-        scene.play("a send job 1 once 4000\nnode wait owed 1")
+        scene.run_script("a send job 1 once 4000\nnode wait owed 1")
         client_socket.shutdown(socket.SHUT_WR)
-        scene.play("node wait answer.client_left 1\nnode wait owed 0")
+        scene.run_script("node wait answer.client_left 1\nnode wait owed 0")
     finally:
         scene.close()
 
 
 def test_client_that_asks_on_and_reads_no_answer_is_bounded() -> None:
     """Its requests are answered at once, and the answers cannot leave the process."""
-    scene = Scene()
+    scene = Scenario()
     try:
-        scene.play("a open\nnode wait client_connections 1")
+        scene.run_script("a open\nnode wait client_connections 1")
         client_socket = scene.connections["a"]
         client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
 
@@ -450,7 +454,7 @@
         max_unwritten, rejections = 0, 0
         while not rejections:
             client_socket.sendall(MESSAGES["get"]("/-/counters").encode() * 100)
-            max_unwritten, rejections = asyncio.run_coroutine_threadsafe(held(), scene.loop).result(PATIENCE)
+            max_unwritten, rejections = asyncio.run_coroutine_threadsafe(held(), scene.loop).result(TIMEOUT_S)
             assert max_unwritten < 16 * clients.MAX_ANSWER_BYTES, "the unread answers are not bounded"
         assert max_unwritten < 2 * clients.MAX_ANSWER_BYTES
     finally:
@@ -458,12 +462,12 @@
 
 
 def test_client_that_sends_without_end_ahead_of_its_answer_is_bounded_and_told() -> None:
-    scene = Scene()
+    scene = Scenario()
     try:
-        scene.play("d send list 5 whole w0\nd expect index=5\na send job 1 look 4000\nw0 gets 1")
+        scene.run_script("d send list 5 whole w0\nd expect index=5\na send job 1 look 4000\nw0 gets 1")
         for _ in range(8):
-            scene.play(f"a send bytes {clients.MAX_PIPELINED_BYTES // 4}")
-        scene.play(
+            scene.run_script(f"a send bytes {clients.MAX_PIPELINED_BYTES // 4}")
+        scene.run_script(
             "node wait cut 1\nw0 send serve 1\na expect 200 OK.*made\na expect ^HTTP/1.1 4\\d\\d .*close"
         )
     finally:
@@ -475,10 +479,10 @@
 
 def test_nothing_written_is_held_back_on_any_connection() -> None:
     """A close over unread bytes resets a connection, and data that the kernel delays would be lost."""
-    scene = Scene(mgmt=True)
+    scene = Scenario(mgmt=True)
     try:
-        scene.play("d send list 5 whole w0\nd expect index=5\na send job 1\nw0 gets 1\nm open")
-        scene.play("m send raw 'STATUS'\nnode wait client_connections 1")
+        scene.run_script("d send list 5 whole w0\nd expect index=5\na send job 1\nw0 gets 1\nm open")
+        scene.run_script("m send raw 'STATUS'\nnode wait client_connections 1")
 
         async def delays() -> dict[str, bool]:
             node, (pool,) = scene.node, scene.node.pools.all_servers
@@ -493,7 +497,7 @@
                 if (sock := connection.sock) is not None
             }
 
-        delayed = asyncio.run_coroutine_threadsafe(delays(), scene.loop).result(PATIENCE)
+        delayed = asyncio.run_coroutine_threadsafe(delays(), scene.loop).result(TIMEOUT_S)
         assert delayed == {"client": False, "peer": False, "discovery": False, "call": False}
     finally:
         scene.close()
@@ -503,21 +507,21 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The previous answer is not acknowledged and more input is in flight, so the close is a reset."""
-    scene, read = Scene(), clients.ClientConnection._read_requests
+    scene, read = Scenario(), clients.ClientConnection._read_requests
 
     def read_and_end(connection: clients.ClientConnection) -> None:
         read(connection)
         connection.abort()  # any cause of a close at this moment
 
     try:
-        scene.play("d send list 5 whole w0\nd expect index=5\na open\nnode wait client_connections 1")
+        scene.run_script("d send list 5 whole w0\nd expect index=5\na open\nnode wait client_connections 1")
         client_socket = scene.connections["a"]
         client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_QUICKACK, 0)
         monkeypatch.setattr(clients.ClientConnection, "_read_requests", read_and_end)
         with blocked_loop(scene):
             # An incomplete request follows them, longer than one read.
             requests = MESSAGES["get"]("/-/healthy").encode() * 2
-            client_socket.sendall(requests + job("1", body="x" * 60_000).encode()[:-1])
+            client_socket.sendall(requests + job_request("1", body="x" * 60_000).encode()[:-1])
         answers = b""
         with contextlib.suppress(ConnectionResetError):
             while data := client_socket.recv(65536):
@@ -532,12 +536,12 @@
 
 def test_process_does_not_end_while_a_request_lies_unread() -> None:
     """The last byte of the request arrives between two turns of the loop, right before the final check."""
-    scene = Scene()
+    scene = Scenario()
     try:
-        scene.play(
+        scene.run_script(
             "d send list 5 whole w0\nd expect index=5\na send job 1 look 4000\nw0 gets 1\nw0 send serve 1"
         )
-        scene.play("a expect made")
+        scene.run_script("a expect made")
 
         async def end() -> None:
             scene.node.clients.drain()
@@ -545,13 +549,15 @@
             scene.node._finish_when_done()
             assert not scene.node.finished.done(), "the process ends with an unread request"
 
-        asyncio.run_coroutine_threadsafe(end(), scene.loop).result(PATIENCE)
-        scene.play("w0 gets 2\nw0 send serve 2\na expect 200 OK.*close.*made")
+        asyncio.run_coroutine_threadsafe(end(), scene.loop).result(TIMEOUT_S)
+        scene.run_script("w0 gets 2\nw0 send serve 2\na expect 200 OK.*close.*made")
     finally:
         scene.close()
 
 
-SHORT = {"services": [service | {"hard-limit-ns": 900 * MS} for service in FACTS["services"]]}
+SHORT = {
+    "services": [service | {"hard-limit-ns": 900 * NS_PER_MS} for service in PLATFORM_SETTINGS["services"]]
+}
 SIGTERM = {
     "before the first list": """
         a send job 1 look 800
@@ -616,14 +622,14 @@
 @pytest.mark.parametrize("list_mode", ["push", "ask"])
 @pytest.mark.parametrize("moment", SIGTERM)
 def test_sigterm_at_any_moment_answers_what_was_read_and_ends(moment: str, list_mode: str) -> None:
-    scene = Scene(known="", facts=SHORT | {"discovery": list_mode})
+    scene = Scenario(known="", platform_settings=SHORT | {"discovery": list_mode})
     try:
         began = time.monotonic()
-        scene.play(SIGTERM[moment])
+        scene.run_script(SIGTERM[moment])
         while not scene.node.finished.done():
             assert time.monotonic() < began + 5.0, "the process does not end"
-            scene.play("node wait taken 0")
-        scene.play("node wait owed 0")
+            scene.run_script("node wait taken 0")
+        scene.run_script("node wait owed 0")
     finally:
         scene.close()
 
@@ -631,18 +637,18 @@
 def test_each_request_sent_up_to_the_end_is_answered_whole_or_meets_a_closed_connection() -> None:
     """After SIGTERM, each client sends its next request as soon as it has an answer, until its connection
     closes."""
-    scene = Scene(known="", facts=SHORT)
+    scene = Scenario(known="", platform_settings=SHORT)
     try:
-        scene.play("d send list 5 whole w0\nd expect index=5")
+        scene.run_script("d send list 5 whole w0\nd expect index=5")
         scene.servers["w0"].listen(64)  # accepts connections and never answers
         answered = list[bytes]()
 
         def client(number: int) -> None:
-            with socket.create_connection(scene.where, PATIENCE) as sock:
-                sock.settimeout(PATIENCE)
+            with socket.create_connection(scene.client_address, TIMEOUT_S) as sock:
+                sock.settimeout(TIMEOUT_S)
                 for attempt in range(1000):
                     try:
-                        sock.sendall(job(f"c{number}-{attempt}", "once", "300").encode())
+                        sock.sendall(job_request(f"c{number}-{attempt}", "once", "300").encode())
                         answer = b""
                         while not re.search(rb"\r\n\r\n.*\n$", answer, re.S):
                             data = sock.recv(65536)
@@ -659,11 +665,11 @@
         threads = [threading.Thread(target=client, args=(number,)) for number in range(12)]
         for thread in threads:
             thread.start()
-        scene.play("node wait taken 12\nnode drain")
+        scene.run_script("node wait taken 12\nnode drain")
         for thread in threads:
-            thread.join(PATIENCE)
+            thread.join(TIMEOUT_S)
         assert len(answered) >= 12 and all(answer.startswith(b"HTTP/1.1 50") for answer in answered)
-        report: Any = asyncio.run_coroutine_threadsafe(scene._report(), scene.loop).result(PATIENCE)
+        report: Any = asyncio.run_coroutine_threadsafe(scene._report(), scene.loop).result(TIMEOUT_S)
         assert report["counters"]["taken"] == len(answered)
     finally:
         scene.close()
@@ -675,23 +681,25 @@
 def test_never_twice_job_runs_once_at_whatever_byte_its_workers_connection_ends() -> None:
     """The connection closes after each byte of the answer, with FIN and reset in turn: one attempt and one
     correct answer."""
-    scene = Scene(known="")
+    scene = Scenario(known="")
     try:
-        scene.play("d send list 5 whole w0\nd expect index=5")
+        scene.run_script("d send list 5 whole w0\nd expect index=5")
         response = MESSAGES["serve"]("n000")
         # From this byte on the result is known: the final event is complete.
         known = response.index('"result": "made"}\n') + len('"result": "made"}\n')
         for cut in range(0, len(response) + 1, 3):
             name = f"n{cut:03d}"
-            scene.play(f"a send job {name} once 4000")
+            scene.run_script(f"a send job {name} once 4000")
             worker = f"w0/{cut}"
-            scene.play(f"{worker} gets {name}")
+            scene.run_script(f"{worker} gets {name}")
             sent = MESSAGES["serve"](name)[:cut].encode()
             scene.connections[worker].sendall(sent)
-            scene.play(f"{worker} close {'hard' if cut % 2 else ''}")
-            scene.play(f"a expect ^HTTP/1.1 {'200' if cut >= known and not cut % 2 else '(502|200)'} .*\\n?")
+            scene.run_script(f"{worker} close {'hard' if cut % 2 else ''}")
+            scene.run_script(
+                f"a expect ^HTTP/1.1 {'200' if cut >= known and not cut % 2 else '(502|200)'} .*\\n?"
+            )
             scene.unread["a"] = b""
-        report: Any = asyncio.run_coroutine_threadsafe(scene._report(), scene.loop).result(PATIENCE)
+        report: Any = asyncio.run_coroutine_threadsafe(scene._report(), scene.loop).result(TIMEOUT_S)
         counts = report["counters"]
         assert counts["tries"] == counts["taken"] == len(range(0, len(response) + 1, 3))
         assert counts["answer.failed"] + counts["answer.served"] == counts["taken"]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,8 +7,8 @@
 import random
 
 import pytest
-from harness import SAFE, UNSAFE, Caller
-from scenario import FACTS
+from harness import SAFE, UNSAFE, BalancerDriver
+from scenario import PLATFORM_SETTINGS
 
 from wickgw import interface as i
 from wickgw.net.watch_timing import WatchTiming, backoff
@@ -25,20 +25,22 @@
     return i.Settings(**(base | {"dispatchers": DISPATCHERS} | changes))  # type: ignore[arg-type]
 
 
-def fleet(settings: i.Settings, entries: tuple[i.Entry, ...], count: int = DISPATCHERS) -> list[Caller]:
+def fleet(
+    settings: i.Settings, entries: tuple[i.Entry, ...], count: int = DISPATCHERS
+) -> list[BalancerDriver]:
     """Return `count` dispatchers that differ in their seeds."""
-    return [Caller(settings, seed, entries) for seed in range(count)]
+    return [BalancerDriver(settings, seed, entries) for seed in range(count)]
 
 
-def serve(caller: Caller, name: str, class_index: int, run_time: float) -> str:
+def serve(caller: BalancerDriver, name: str, class_index: int, run_time: float) -> str:
     """Feed a job that starts at once and runs `run_time` seconds; return its worker, or "" without one."""
     caller.arrive(name, class_index)
-    tries = caller.owed[name].tries
+    tries = caller.requests[name].attempts
     if not tries:
         return ""
-    caller.start(name)
+    caller.start_attempt(name)
     caller.wait(run_time)
-    caller.end(name)
+    caller.end_attempt(name)
     return tries[0].worker.worker
 
 
@@ -53,7 +55,7 @@
             serve(caller, f"a{n}", n % 2, 0.2)
             caller.wait(0.1)
         started_at = caller.now
-        caller.tell(*(i.Entry(name, since=started_at) for name in COLD))
+        caller.update_list(*(i.Entry(name, since=started_at) for name in COLD))
         for n in range(46):
             worker = serve(caller, f"b{n}", n % 2, 0.2)
             caller.wait(0.1)
@@ -74,13 +76,15 @@
         for n in range(24):  # half of the workers are used, and start each job after a wait
             caller.arrive(f"a{n}", n % 2)
             caller.wait(0.1)
-            caller.start(f"a{n}")
+            caller.start_attempt(f"a{n}")
             caller.wait(0.2)
-            caller.end(f"a{n}")
+            caller.end_attempt(f"a{n}")
             caller.wait(0.3)
-        used_workers = {attempt.worker.worker for owed in caller.owed.values() for attempt in owed.tries}
+        used_workers = {
+            attempt.worker.worker for owed in caller.requests.values() for attempt in owed.attempts
+        }
         new = tuple(i.Entry(f"n{k}") for k in range(24))
-        caller.tell(*new)
+        caller.update_list(*new)
         for n in range(10):
             jobs_at_used_workers += serve(caller, f"b{n}", n % 2, 0.2) in used_workers
             caller.wait(1.0)
@@ -100,14 +104,14 @@
         for n in range(20):
             caller.arrive(f"a{n}", 1)
             caller.wait(start_delay)
-            caller.start(f"a{n}")
+            caller.start_attempt(f"a{n}")
             caller.wait(0.2)
-            caller.end(f"a{n}")
+            caller.end_attempt(f"a{n}")
         caller.wait(10.0)  # workers at which jobs waited are eligible again
         caller.arrive("late", 0)
         caller.wait(0.2)  # no start is reported
-        assert len(caller.owed["late"].tries) <= 2
-        sent += len(caller.owed["late"].tries) - 1
+        assert len(caller.requests["late"].attempts) <= 2
+        sent += len(caller.requests["late"].attempts) - 1
     assert sent == hedged_attempts * 10  # neither hedged more often nor migrated
 
 
@@ -141,7 +145,7 @@
 
 def test_no_pause_is_as_long_as_ask_within() -> None:
     """After `ask_within` seconds a listed change counts as known, whether the dispatcher called or not."""
-    assert read_settings(FACTS | {"rules": {"ask-within-ns": 3_000_000_000}}).ask_within == 3.0
+    assert read_settings(PLATFORM_SETTINGS | {"rules": {"ask-within-ns": 3_000_000_000}}).ask_within == 3.0
     for within in (0.5, 3.0, 10.0):
         for dispatchers in (1, 3, 40, 1000):
             timing = WatchTiming(
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 import pytest
-from harness import SAFE, Caller
+from harness import SAFE, BalancerDriver
 
 from wickgw import balance
 from wickgw import interface as i
@@ -22,7 +22,7 @@
 
 
 def test_q_matches_the_closed_form_on_a_linear_system() -> None:
-    caller = Caller(ONE_CLASS, entries=fleet(3))
+    caller = BalancerDriver(ONE_CLASS, entries=fleet(3))
     balancer = caller.balancer
     keep = np.array([0.8, 0.6, 0.3])  # fraction of its jobs that each worker retains per tick
     rng = np.random.default_rng(5)
@@ -43,7 +43,7 @@
     )
 
 
-def serve(caller: Caller, speeds: dict[str, float], jobs: int, fails: str = "") -> dict[str, int]:
+def serve(caller: BalancerDriver, speeds: dict[str, float], jobs: int, fails: str = "") -> dict[str, int]:
     """Feed a job every 20 ms and return the number of jobs sent to each worker.
 
     Running times are exponential with the worker's speed in jobs per second. The worker `fails` answers
@@ -51,23 +51,23 @@
     """
     rng, ends, job_counts = random.Random(3), [], dict.fromkeys(speeds, 0)
     for k in range(jobs):
-        for name, worker in caller.sends(caller.arrive(f"r{k}")):
+        for name, worker in caller.sends_in(caller.arrive(f"r{k}")):
             job_counts[worker] += 1
             if worker == fails:
-                caller.end(name, i.Verdict.ERROR)
+                caller.end_attempt(name, i.Verdict.ERROR)
                 continue
-            caller.start(name)
+            caller.start_attempt(name)
             ends.append((caller.now + rng.expovariate(speeds[worker]), name))
         caller.wait(0.02)
         for item in sorted(end for end in ends if end[0] <= caller.now):
             ends.remove(item)
-            if caller.owed[item[1]].tries[-1].verdict is None:
-                caller.end(item[1], number=len(caller.owed[item[1]].tries) - 1)
+            if caller.requests[item[1]].attempts[-1].verdict is None:
+                caller.end_attempt(item[1], number=len(caller.requests[item[1]].attempts) - 1)
     return job_counts
 
 
 def test_slower_worker_gets_a_higher_q_and_fewer_jobs() -> None:
-    caller = Caller(ONE_CLASS, entries=fleet(3))
+    caller = BalancerDriver(ONE_CLASS, entries=fleet(3))
     job_counts = serve(caller, {"w0": 2.0, "w1": 10.0, "w2": 10.0}, 1500)
     q = {worker.id: worker.q for worker in caller.balancer.members}
     assert q["w0"] > 1.3 * max(q["w1"], q["w2"])
@@ -75,7 +75,7 @@
 
 
 def test_jobs_that_time_out_do_not_make_a_worker_look_fast() -> None:
-    caller = Caller(ONE_CLASS, entries=fleet(2))
+    caller = BalancerDriver(ONE_CLASS, entries=fleet(2))
     serving_worker, timing_out_worker = caller.balancer.members
     for _ in range(200):
         for worker in (serving_worker, timing_out_worker):
@@ -95,13 +95,13 @@
 
 
 def test_worker_that_fails_fast_gets_few_jobs() -> None:
-    caller = Caller(ONE_CLASS, entries=fleet(3))
+    caller = BalancerDriver(ONE_CLASS, entries=fleet(3))
     job_counts = serve(caller, {"w0": 10.0, "w1": 10.0, "w2": 10.0}, 600, fails="w0")
     assert job_counts["w0"] < 0.05 * 600
 
 
 def test_q_keeps_its_last_value_when_the_solution_is_not_positive() -> None:
-    caller = Caller(ONE_CLASS, entries=fleet(2))
+    caller = BalancerDriver(ONE_CLASS, entries=fleet(2))
     for worker in caller.balancer.members:
         # More jobs stay than there were: no valid drain rate.
         worker.q, worker.previous_in_flight, worker.in_flight, worker.sent_since_tick = (
@@ -117,9 +117,9 @@
 
 
 def test_restarted_worker_is_learned_anew_and_a_gone_one_is_removed_from_the_matrices() -> None:
-    caller = Caller(ONE_CLASS, entries=fleet(3))
+    caller = BalancerDriver(ONE_CLASS, entries=fleet(3))
     serve(caller, {"w0": 2.0, "w1": 10.0, "w2": 10.0}, 300)
-    caller.tell(i.Entry("w0", since=caller.now))
+    caller.update_list(i.Entry("w0", since=caller.now))
     new, others = caller.balancer.workers["w0"], caller.balancer.members[:2]
     assert new.q == 1 / (1 - balance.DISCOUNT * caller.balancer.default_retention) and all(
         worker.q != new.q for worker in others
@@ -128,19 +128,19 @@
         not caller.balancer.matrices.sigma[new.row].any()
         and not caller.balancer.matrices.sigma[:, new.row].any()
     )
-    caller.tell(i.Entry("w1", i.Health.GONE))
+    caller.update_list(i.Entry("w1", i.Health.GONE))
     assert [worker.id for worker in caller.balancer.members] == ["w2", "w0"]
     assert (caller.balancer.matrices.sigma.diagonal() != 0).sum() == 1
 
 
 def test_job_counts_by_the_slots_that_it_takes() -> None:
-    caller = Caller(ONE_CLASS, entries=fleet(2))
-    ((_, first),) = caller.sends(caller.arrive("wide", slots=4.0))
-    caller.start("wide")
+    caller = BalancerDriver(ONE_CLASS, entries=fleet(2))
+    ((_, first),) = caller.sends_in(caller.arrive("wide", slots=4.0))
+    caller.start_attempt("wide")
     others = []
     for k in range(3):
-        others += [worker for _, worker in caller.sends(caller.arrive(f"r{k}"))]
-        caller.start(f"r{k}")
+        others += [worker for _, worker in caller.sends_in(caller.arrive(f"r{k}"))]
+        caller.start_attempt(f"r{k}")
     assert first not in others
 
 
@@ -148,27 +148,27 @@
     both = (i.Entry("far", zone=1), i.Entry("near"))
     priced = i.Settings(classes=(SAFE,), reports_start=True, cross_zone_fee=0.02)
     for settings, firsts in ((ONE_CLASS, {"far", "near"}), (priced, {"near"})):
-        callers = [Caller(settings, seed, entries=both) for seed in range(9)]
-        assert {worker for caller in callers for _, worker in caller.sends(caller.arrive("r"))} == firsts
-        callers[0].start("r")
+        callers = [BalancerDriver(settings, seed, entries=both) for seed in range(9)]
+        assert {worker for caller in callers for _, worker in caller.sends_in(caller.arrive("r"))} == firsts
+        callers[0].start_attempt("r")
     # The fee costs less than a slot in use.
-    assert [worker for _, worker in callers[0].sends(callers[0].arrive("next"))] == ["far"]
+    assert [worker for _, worker in callers[0].sends_in(callers[0].arrive("next"))] == ["far"]
 
 
 def test_dispatchers_break_ties_differently() -> None:
     fleet = tuple(i.Entry(f"w{k}") for k in range(8))
     picks = [
-        caller.sends(caller.arrive("r"))[0][1]
-        for caller in (Caller(ONE_CLASS, seed, fleet) for seed in range(40))
+        caller.sends_in(caller.arrive("r"))[0][1]
+        for caller in (BalancerDriver(ONE_CLASS, seed, fleet) for seed in range(40))
     ]
     # All 40 on one worker if all dispatchers chose alike.
     assert all(1 <= picks.count(worker.worker) <= 14 for worker in fleet)
 
 
 def test_worker_without_data_gets_the_average_of_the_fleet() -> None:
-    caller = Caller(ONE_CLASS, entries=fleet(2))
+    caller = BalancerDriver(ONE_CLASS, entries=fleet(2))
     serve(caller, {"w0": 5.0, "w1": 5.0}, 600)
-    caller.tell(i.Entry("new"))
+    caller.update_list(i.Entry("new"))
     caller.balancer._start_solve(caller.now)
     q = {worker.id: worker.q for worker in caller.balancer.members}
     assert 0.6 * min(q["w0"], q["w1"]) < q["new"] < 1.6 * max(q["w0"], q["w1"]) and q["new"] > 1.5
@@ -182,21 +182,21 @@
     """
     priced = i.Settings((SAFE,), reports_start=True, cross_zone_fee=0.08, handshake_fee=0.2, dispatchers=200)
     entries = tuple(i.Entry(f"{zone}-{k}", zone=zone) for zone in (0, 1) for k in range(33))
-    caller, away, due = Caller(priced, seed, entries), list[bool](), list[tuple[float, int, str]]()
+    caller, away, due = BalancerDriver(priced, seed, entries), list[bool](), list[tuple[float, int, str]]()
     for k in range(60):
         due.append((0.9 * k, 0, f"r{k}"))
     while due:
         at, step, name = heapq.heappop(due)
         caller.wait(at - caller.now)
         if step == 0:
-            for _, worker in caller.sends(caller.arrive(name)):
+            for _, worker in caller.sends_in(caller.arrive(name)):
                 away.append(worker.startswith("1"))
                 heapq.heappush(due, (at + (0.0 if away[-1] else waits), 1, name))
         elif step == 1:
-            caller.start(name)
+            caller.start_attempt(name)
             heapq.heappush(due, (at + 0.05, 2, name))
         else:
-            caller.end(name)
+            caller.end_attempt(name)
     return away
 
 
@@ -213,9 +213,9 @@
     early, seeds = 0, 300
     ramp = i.Settings((SAFE,), reports_start=True, dispatchers=30, initial_capacity=0.2, warmup_time=20.0)
     for seed in range(seeds):
-        caller = Caller(ramp, seed, fleet(2))
+        caller = BalancerDriver(ramp, seed, fleet(2))
         caller.balancer.warm_rate = 0.005
-        caller.tell(i.Entry("cold", since=caller.now))
+        caller.update_list(i.Entry("cold", since=caller.now))
         worker = caller.balancer.workers["cold"]
         early += worker.next_cold_send - caller.now < 0.25 * caller.balancer._cold_send_interval(
             worker, SAFE.latency_target, caller.now
@@ -226,13 +226,13 @@
 @pytest.mark.parametrize("seed", [0, 1, 2])
 def test_single_worker_that_seems_fast_does_not_get_all_jobs(seed: int) -> None:
     """If the first jobs to end were short ones, all workers seem slow but those that ran none of them."""
-    caller = Caller(ONE_CLASS, seed, fleet(30))
+    caller = BalancerDriver(ONE_CLASS, seed, fleet(30))
     caller.balancer.run_times._worker_slowness[:] = 1.0
     caller.balancer.run_times._worker_slowness[caller.balancer.workers["w7"].row] = 0.0
     job_counts = []
     for n in range(30):
-        job_counts += [worker for _, worker in caller.sends(caller.arrive(f"r{n}"))]
-        caller.start(f"r{n}")
+        job_counts += [worker for _, worker in caller.sends_in(caller.arrive(f"r{n}"))]
+        caller.start_attempt(f"r{n}")
     assert len(job_counts) == 30 and job_counts.count("w7") <= 3
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from scenario import Scene
+from scenario import Scenario
 
 from wickgw.net import clients, discovery, watch_timing
 from wickgw.net.attempt import Job
@@ -448,9 +448,9 @@
 
 
 def play_scene(text: str, **options: Any) -> None:
-    scene = Scene(**options)
+    scene = Scenario(**options)
     try:
-        scene.play(text)
+        scene.run_script(text)
     finally:
         scene.close()
 
@@ -481,11 +481,11 @@
 
 
 def test_clients_beyond_the_limit_evict_idle_connections() -> None:
-    scene = Scene(descriptors=32)
+    scene = Scenario(descriptors=32)
     try:
         for number in range(scene.node.sockets.max_client_connections + 5):
-            scene.play(f"c{number} send get /-/healthy\nc{number} expect ^HTTP/1.1 200 .*ok\\n")
-        scene.play("c0 expect end\na send job 1\nw0 gets 1\nw0 send serve 1\na expect 200 OK")
+            scene.run_script(f"c{number} send get /-/healthy\nc{number} expect ^HTTP/1.1 200 .*ok\\n")
+        scene.run_script("c0 expect end\na send job 1\nw0 gets 1\nw0 send serve 1\na expect 200 OK")
     finally:
         scene.close()
 
@@ -493,13 +493,17 @@
 @pytest.mark.parametrize("partial_request", ["", "send raw 'POST /look HTTP/1.1~Ho'"])
 def test_silent_connections_do_not_displace_active_clients(partial_request: str) -> None:
     """In a flood of connections without jobs, a client with jobs stays connected and a new one gets in."""
-    scene = Scene(descriptors=32)
+    scene = Scenario(descriptors=32)
     try:
-        scene.play("a send job 1\nw0 gets 1\nw0 send serve 1\na expect 200 OK.*made")
+        scene.run_script("a send job 1\nw0 gets 1\nw0 send serve 1\na expect 200 OK.*made")
         for number in range(3 * scene.node.sockets.max_client_connections):
-            scene.play(f"c{number} open\n" + (f"c{number} {partial_request}" if partial_request else ""))
-        scene.play("b send job 2\nw0 gets 2\nw0 send serve 2\nb expect 200 OK.*made")
-        scene.play("a send job 3\nw0 gets 3\nw0 send serve 3\na expect 200 OK.*made\nnode wait evicted 1")
+            scene.run_script(
+                f"c{number} open\n" + (f"c{number} {partial_request}" if partial_request else "")
+            )
+        scene.run_script("b send job 2\nw0 gets 2\nw0 send serve 2\nb expect 200 OK.*made")
+        scene.run_script(
+            "a send job 3\nw0 gets 3\nw0 send serve 3\na expect 200 OK.*made\nnode wait evicted 1"
+        )
     finally:
         scene.close()
 
@@ -533,35 +537,37 @@
 
 def test_late_first_bytes_do_not_extend_the_request_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     """The timeout of a first request counts from connecting, not from its first byte."""
-    scene = Scene()
+    scene = Scenario()
     try:
-        scene.play("a open\nnode wait client_connections 1")
+        scene.run_script("a open\nnode wait client_connections 1")
         connection = next(iter(scene.node.clients.connections))
         opened = connection.waiting_since
-        scene.play("a send raw 'POST'\nb send get /-/healthy\nb expect 200 OK")
+        scene.run_script("a send raw 'POST'\nb send get /-/healthy\nb expect 200 OK")
         assert connection.has_partial_request and connection.waiting_since == opened
     finally:
         scene.close()
 
 
 def test_clients_beyond_the_limit_wait_for_a_free_connection() -> None:
-    scene = Scene(descriptors=32)
+    scene = Scenario(descriptors=32)
     try:
         limit = scene.node.sockets.max_client_connections = 8
         for n in range(limit):
-            scene.play(f"c{n} send job {n} once\nw0/{n} gets {n}")
-            scene.play(f"w0/{n} send take\nw0/{n} send event started {n}\nnode wait taken {n + 1}")
-        scene.play(f"c{limit} send job {limit} once\nw0/0 send done 0\nc0 expect 200 OK.*made\nc0 expect end")
-        scene.play(f"w0/0 gets {limit}\nw0/0 send serve {limit}\nc{limit} expect 200 OK.*made")
+            scene.run_script(f"c{n} send job {n} once\nw0/{n} gets {n}")
+            scene.run_script(f"w0/{n} send take\nw0/{n} send event started {n}\nnode wait taken {n + 1}")
+        scene.run_script(
+            f"c{limit} send job {limit} once\nw0/0 send done 0\nc0 expect 200 OK.*made\nc0 expect end"
+        )
+        scene.run_script(f"w0/0 gets {limit}\nw0/0 send serve {limit}\nc{limit} expect 200 OK.*made")
     finally:
         scene.close()
 
 
 def test_attempt_without_a_descriptor_never_ran_and_its_request_is_held() -> None:
-    scene = Scene()
+    scene = Scenario()
     scene.node.sockets.max_worker_connections = 1
     try:
-        scene.play(
+        scene.run_script(
             """
             a send job 1 once
             w0 gets 1
@@ -587,10 +593,10 @@
         return original(sock, where)
 
     monkeypatch.setattr(socket.socket, "connect_ex", connect_ex)
-    scene = Scene()
+    scene = Scenario()
     try:
         scene.servers["w0"].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        scene.play(
+        scene.run_script(
             f"""
             a send job 1 once 1000 {"x" * 65000}
             w0 expect ^POST
@@ -630,14 +636,14 @@
     assert watch_timing.backoff(1, 200) / 2 > 3.0
     pauses = list[tuple[float, float]]()
     monkeypatch.setattr(random, "uniform", lambda a, b: pauses.append((a, b)) or b)  # type: ignore[func-returns-value]
-    scene = Scene(facts={"siblings": 200})
+    scene = Scenario(platform_settings={"siblings": 200})
     try:
-        scene.play("d send list 5 whole w1\nd expect index=5\nd/2 expect index=5")
+        scene.run_script("d send list 5 whole w1\nd expect index=5\nd/2 expect index=5")
         assert pauses == [(0, watch_timing.IMMEDIATE_RETRY_S)]
-        scene.play("d/2 close hard")  # a lost connection is not silence: the pause of the fleet applies
+        scene.run_script("d/2 close hard")  # a lost connection is not silence: the pause of the fleet applies
         end = time.monotonic() + 10
         while len(pauses) < 2 and time.monotonic() < end:
-            scene.play("node wait taken 0")
+            scene.run_script("node wait taken 0")
         assert pauses[1] == (2.0, 4.0)  # of the fleet, bounded by the delivery time of a change
     finally:
         scene.close()
@@ -711,18 +717,18 @@
 @pytest.mark.parametrize("close_mode", ["", "hard"])
 def test_unread_close_of_an_idle_connection_does_not_fail_the_next_attempt(close_mode: str) -> None:
     """The worker's close and the next job arrive in the same turn of the loop, before either is read."""
-    scene, answers = Scene(), list[Answer]()
+    scene, answers = Scenario(), list[Answer]()
 
     async def end_and_take() -> None:
-        scene.play(f"w0 close {close_mode}")
+        scene.run_script(f"w0 close {close_mode}")
         client = SimpleNamespace(answer=answers.append, has_disconnected=lambda: False)
         deadline = scene.loop.time() + 3.0
         scene.node.dispatcher.submit(PendingRequest("2", 1, deadline, Job("POST", "/once", b""), client))
 
     try:
-        scene.play("a send job 1 once\nw0 gets 1\nw0 send serve 1\na expect 200 OK.*made")
+        scene.run_script("a send job 1 once\nw0 gets 1\nw0 send serve 1\na expect 200 OK.*made")
         asyncio.run_coroutine_threadsafe(end_and_take(), scene.loop).result(10.0)
-        scene.play("w0/2 gets 2\nw0/2 send serve 2\nnode wait owed 0")
+        scene.run_script("w0/2 gets 2\nw0/2 send serve 2\nnode wait owed 0")
         assert answers == [Answer(AnswerKind.SERVED, b"made")]
     finally:
         scene.close()
@@ -748,12 +754,12 @@
 
 def test_started_or_ended_attempt_is_not_kept_as_waiting() -> None:
     """Its request and body would stay in memory until the worker gets another connection."""
-    scene = Scene()
+    scene = Scenario()
     try:
         waiting_attempts = scene.node.pools.servers[""].connections.waiting_attempts
-        scene.play("a send job 1\nw0 gets 1")
+        scene.run_script("a send job 1\nw0 gets 1")
         assert not waiting_attempts
-        scene.play("w0 send serve 1\na expect 200 OK.*made\nnode wait owed 0")
+        scene.run_script("w0 send serve 1\na expect 200 OK.*made\nnode wait owed 0")
         assert not waiting_attempts
     finally:
         scene.close()
@@ -806,7 +812,7 @@
 
 
 def test_listener_survives_an_error_on_accept(monkeypatch: pytest.MonkeyPatch) -> None:
-    scene, errors = Scene(), [OSError(errno.EMFILE, "Too many open files")]
+    scene, errors = Scenario(), [OSError(errno.EMFILE, "Too many open files")]
     original = socket.socket.accept
 
     def accept(listener: socket.socket) -> Any:
@@ -817,15 +823,15 @@
 
     monkeypatch.setattr(socket.socket, "accept", accept)
     try:
-        scene.play("a send get /-/healthy\na expect 200 OK\nnode wait accept_errors 1")
+        scene.run_script("a send get /-/healthy\na expect 200 OK\nnode wait accept_errors 1")
     finally:
         scene.close()
 
 
 def test_unexpected_error_closes_only_one_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    scene = Scene()
+    scene = Scenario()
     monkeypatch.setattr(scene.node.clients, "report", lambda: 1 // 0)
     try:
-        scene.play("a send get /-/counters\na expect end\nb send get /-/healthy\nb expect 200 OK")
+        scene.run_script("a send get /-/counters\na expect end\nb send get /-/healthy\nb expect 200 OK")
     finally:
         scene.close()
--- a/tests/test_pool_server.py
+++ b/tests/test_pool_server.py
@@ -8,7 +8,7 @@
 
 from wickgw import interface as i
 from wickgw.config.relay import Config, read_config
-from wickgw.emulator.serve_process import settings_for
+from wickgw.emulator.serve_process import platform_settings
 from wickgw.net.dispatch import Clock
 from wickgw.net.pool_server import ENTRIES_PER_TURN, PoolServer
 from wickgw.net.sockets import Sockets
@@ -24,7 +24,7 @@
         "name": "n",
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:1",
-        "settings": settings_for(30),
+        "settings": platform_settings(30),
     }
     path.write_text(json.dumps(configuration))
     return read_config({"RELAY_CONFIG": str(path)})
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as it stands."""
+"""The example in the README runs unchanged."""
 
 import re
 from pathlib import Path
@@ -8,6 +8,6 @@
 def test_readme_example_serves_every_job() -> None:
     text = (Path(__file__).parent.parent / "README.md").read_text()
     (code,) = re.findall(r"```python\n(.*?)```", text, re.S)
-    names: dict[str, Any] = {}
-    exec(code, names)
-    assert [request for request, _ in names["served"]] == [f"job-{n}" for n in range(10)]
+    namespace: dict[str, Any] = {}
+    exec(code, namespace)
+    assert [request for request, _ in namespace["served"]] == [f"job-{n}" for n in range(10)]
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from routes import ZONES, plan_of
+from routes import ZONES, plan_from_text
 
 from wickgw.routing import fleet, normal
 from wickgw.routing.automata import NotRegularError, path_equivalence_classes
@@ -189,7 +189,7 @@
 
 
 def verdicts(folder: Path, text: str) -> dict[str, tuple[str, str]]:
-    plan = plan_of(folder, POOLS + WORKERS + text)
+    plan = plan_from_text(folder, POOLS + WORKERS + text)
     return {
         result.expectation.name: (result.verdict.value, result.witness)
         for result in check(plan, analyze(plan))
@@ -197,7 +197,7 @@
 
 
 def findings(folder: Path, text: str) -> dict[str, str]:
-    plan = plan_of(folder, POOLS + text)
+    plan = plan_from_text(folder, POOLS + text)
     analysis = analyze(plan)
     return {
         f"{finding.kind} {' '.join(finding.routes)}".strip(): finding.witness
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from scenario import FACTS, Scene
+from scenario import PLATFORM_SETTINGS, Scenario
 
 from wickgw.config.relay import ConfigError, passed_socket, read_config
 from wickgw.service import calls as service_calls
@@ -118,9 +118,9 @@
 
 @pytest.mark.parametrize("text", SCENES.values(), ids=list(SCENES))
 def test_scene(text: str) -> None:
-    scene = Scene(mgmt=True)
+    scene = Scenario(mgmt=True)
     try:
-        scene.play(text)
+        scene.run_script(text)
     finally:
         scene.close()
 
@@ -129,9 +129,9 @@
     from wickgw.net import clients
 
     monkeypatch.setattr(clients, "PAUSE_GRACE_S", 0.0)
-    scene = Scene(mgmt=True)
+    scene = Scenario(mgmt=True)
     try:
-        scene.play("""
+        scene.run_script("""
             a send get /-/healthy
             a expect 200 OK.*ok\\n
             m send raw "PAUSE\\n"
@@ -145,10 +145,10 @@
 def test_passed_socket_is_served_and_stays_open_for_the_other_process() -> None:
     platform = socket.create_server(("127.0.0.1", 0))
     own_descriptor = os.dup(platform.fileno())  # the platform gives each process its own descriptor
-    scene = Scene(mgmt=True, passed=own_descriptor)
+    scene = Scenario(mgmt=True, passed_fd=own_descriptor)
     try:
-        assert scene.where == platform.getsockname()
-        scene.play("""
+        assert scene.client_address == platform.getsockname()
+        scene.run_script("""
             a send job 1
             w0 gets 1
             w0 send serve 1
@@ -189,7 +189,12 @@
 @pytest.mark.parametrize("mgmt", ["nowhere", "127.0.0.1:99999", "127.0.0.1"])
 def test_invalid_management_address_is_reported_with_file_and_key(mgmt: str, tmp_path: Path) -> None:
     file = tmp_path / "config.json"
-    configuration = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": FACTS}
+    configuration = {
+        "name": "n0",
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:2",
+        "settings": PLATFORM_SETTINGS,
+    }
     file.write_text(json.dumps(configuration))
     assert read_config({"RELAY_CONFIG": str(file)}).mgmt is None
     assert read_config({"RELAY_CONFIG": str(file), "RELAY_MGMT": "127.0.0.1:7"}).mgmt == ("127.0.0.1", 7)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -7,7 +7,7 @@
 
 import numpy as np
 import pytest
-from harness import Caller
+from harness import BalancerDriver
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
@@ -97,7 +97,9 @@
 
 def test_solution_that_is_not_positive_keeps_the_last_q_at_any_size() -> None:
     for workers in (3, MAX_ITEMS_PER_CALL + 20):
-        caller = Caller(i.Settings(classes=(LOW,)), entries=tuple(i.Entry(f"w{k}") for k in range(workers)))
+        caller = BalancerDriver(
+            i.Settings(classes=(LOW,)), entries=tuple(i.Entry(f"w{k}") for k in range(workers))
+        )
         for worker in caller.balancer.members:
             # More jobs stay than there were: no valid drain rate.
             worker.q, worker.previous_in_flight, worker.in_flight, worker.sent_since_tick = (
@@ -114,10 +116,10 @@
         assert {worker.q for worker in caller.balancer.members} == {1.7}
 
 
-def single_slot_workers(classes: tuple[i.RequestClass, ...], workers: int = 1, **more: Any) -> Caller:
+def single_slot_workers(classes: tuple[i.RequestClass, ...], workers: int = 1, **more: Any) -> BalancerDriver:
     """Return a caller with workers that have room for one job each."""
     facts = i.Settings(classes=classes, reports_start=True, may_hedge=False, **more)
-    caller = Caller(facts, entries=tuple(i.Entry(f"w{k}") for k in range(workers)))
+    caller = BalancerDriver(facts, entries=tuple(i.Entry(f"w{k}") for k in range(workers)))
     for worker in caller.balancer.members:
         worker.concurrency_limit = 1.0
         caller.balancer._update_index(worker)
@@ -128,28 +130,28 @@
     """The estimated running time of a class falls to a thousandth while requests of it are queued."""
     caller = single_slot_workers((LOW,))
     caller.arrive("first")
-    caller.start("first")
+    caller.start_attempt("first")
     served = []
     for k in range(12):
         caller.arrive(f"r{k}")
         caller.balancer.mean_run_times[0] = 0.4 / 2**k
-    sent = caller.sends(caller.end("first"))
+    sent = caller.sends_in(caller.end_attempt("first"))
     while sent:
         served += [name for name, _ in sent]
         caller.balancer.members[0].concurrency_limit = 1.0
-        caller.start(served[-1])
-        sent = caller.sends(caller.end(served[-1]))
+        caller.start_attempt(served[-1])
+        sent = caller.sends_in(caller.end_attempt(served[-1]))
     assert served == [f"r{k}" for k in range(12)]
 
 
 def test_request_with_the_earlier_deadline_is_served_first() -> None:
     caller = single_slot_workers((LOW,))
     caller.arrive("running")
-    caller.start("running")
+    caller.start_attempt("running")
     caller.balancer.mean_run_times[0] = 0.01
-    caller.arrive("patient", patience=5.0)
-    caller.arrive("pressed", patience=0.2)
-    assert [name for name, _ in caller.sends(caller.end("running"))] == ["pressed"]
+    caller.arrive("patient", time_left=5.0)
+    caller.arrive("pressed", time_left=0.2)
+    assert [name for name, _ in caller.sends_in(caller.end_attempt("running"))] == ["pressed"]
 
 
 @patch.object(balance, "MAX_SKIPS", 6)
@@ -167,12 +169,12 @@
             class_index = 1 if rng.random() < 0.15 else 0
             name = f"r{len(names)}"
             names[name] = class_index
-            sent = caller.sends(caller.arrive(name, class_index, patience=4.0))
+            sent = caller.sends_in(caller.arrive(name, class_index, time_left=4.0))
             in_flight += [n for n, _ in sent]
         caller.balancer.mean_run_times = [rng.uniform(0.001, 0.4), rng.uniform(0.001, 0.4)]
         for name in list(in_flight):
-            if caller.owed[name].tries and not caller.owed[name].tries[-1].started:
-                caller.start(name)
+            if caller.requests[name].attempts and not caller.requests[name].attempts[-1].started:
+                caller.start_attempt(name)
         if in_flight and rng.random() < 0.9:
             ended = in_flight.pop(rng.randrange(len(in_flight)))
             for worker in caller.balancer.members:
@@ -182,7 +184,7 @@
                 for request in caller.balancer.requests.values()
                 if request.queue_ticket >= 0 and request.class_index == 1 and caller.now < request.start_by
             ]
-            sent = caller.sends(caller.end(ended))
+            sent = caller.sends_in(caller.end_attempt(ended))
             in_flight += [n for n, _ in sent]
             for name, _ in sent:
                 skips = 0 if names[name] == 1 or not waits else skips + 1
@@ -200,12 +202,12 @@
         for class_index in (3, 3, 3, 0, 1, 2):
             caller.arrive(f"{class_index}-{number}", class_index)
             number += 1
-        for name, k in caller.open():
-            if not caller.owed[name].tries[k].started:
-                caller.start(name, k)
+        for name, k in caller.open_attempts():
+            if not caller.requests[name].attempts[k].started:
+                caller.start_attempt(name, k)
             for worker in caller.balancer.members:
                 worker.concurrency_limit = 1.0
-            caller.end(name, number=k)
+            caller.end_attempt(name, number=k)
             solved[int(name[0])] += 1
         caller.wait(0.01)
     share = solved[0] / sum(solved)
@@ -214,22 +216,22 @@
 
 def test_hundreds_of_workers_join_and_leave_while_rows_are_in_use() -> None:
     rng = random.Random(4)
-    caller = Caller(i.Settings(classes=(LOW,), reports_start=True, may_hedge=False))
+    caller = BalancerDriver(i.Settings(classes=(LOW,), reports_start=True, may_hedge=False))
     listed: set[int] = set()
     for k in range(40):
         join = {rng.randrange(400) for _ in range(rng.choice((0, 0, 150)))} - listed
         leave = set(rng.sample(sorted(listed), len(listed) // 2)) if rng.random() < 0.1 else set()
-        caller.tell(
+        caller.update_list(
             *(i.Entry(f"w{n}", since=caller.now) for n in join),
             *(i.Entry(f"w{n}", i.Health.GONE) for n in leave),
         )
         listed = (listed | join) - leave
         for n in range(10):
             caller.arrive(f"{k}-{n}")
-        for name, number in caller.open():
+        for name, number in caller.open_attempts():
             if rng.random() < 0.7:
-                caller.start(name, number)
-                caller.end(name, number=number)
+                caller.start_attempt(name, number)
+                caller.end_attempt(name, number=number)
         caller.wait(0.1)
         balancer = caller.balancer
         held = {worker.row for worker in balancer.members}
@@ -251,14 +253,14 @@
 
 def test_ten_workers_still_serve_when_790_of_800_drain() -> None:
     entries = tuple(i.Entry(f"w{k}", i.Health.READY) for k in range(800))
-    caller = Caller(i.Settings(classes=(LOW,), reports_start=True, may_hedge=False), entries=entries)
-    caller.tell(*(i.Entry(f"w{k}", i.Health.DRAINING) for k in range(10, 800)))
+    caller = BalancerDriver(i.Settings(classes=(LOW,), reports_start=True, may_hedge=False), entries=entries)
+    caller.update_list(*(i.Entry(f"w{k}", i.Health.DRAINING) for k in range(10, 800)))
     solved = set()
     for k in range(100):
-        for name, worker in caller.sends(caller.arrive(f"r{k}")):
+        for name, worker in caller.sends_in(caller.arrive(f"r{k}")):
             solved.add(worker)
-            caller.start(name)
-            caller.end(name)
+            caller.start_attempt(name)
+            caller.end_attempt(name)
     assert solved == {f"w{k}" for k in range(10)}
 
 
@@ -302,7 +304,7 @@
 def test_hurry_refuses_only_a_request_that_can_not_end_in_time(within: float) -> None:
     caller = single_slot_workers((LOW,))
     caller.arrive("running")
-    caller.start("running")
+    caller.start_attempt("running")
     caller.arrive("held")
     caller.balancer.mean_run_times[0] = 0.2
     said = caller.feed(i.Hurry("held", within))
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -9,12 +9,12 @@
 import pytest
 
 from wickgw.config.relay import open_sockets, read_config
-from wickgw.emulator.roster import Roster
-from wickgw.emulator.serve_process import settings_for
+from wickgw.emulator.discovery import EmulatedDiscovery
+from wickgw.emulator.serve_process import platform_settings
 from wickgw.net.start_times import MAX_DEPARTED_WORKERS, REPORT_DELAY_S, Start, StartTimes
 from wickgw.node import Node
 
-WARM_AFTER_S = 20.0  # as in `settings_for`
+WARM_AFTER_S = 20.0  # as in `platform_settings`
 TIMEOUT_S = 10.0
 
 
@@ -32,13 +32,13 @@
 def test_worker_that_starts_while_watched_is_cold(
     step_s: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    roster = Roster([list_entry("old", 0)])
+    roster = EmulatedDiscovery([list_entry("old", 0)])
     path = tmp_path / "n.json"
     configuration = {
         "name": "n",
         "listen": "127.0.0.1:0",
         "discovery": roster.endpoint,
-        "settings": settings_for(4),
+        "settings": platform_settings(4),
     }
     path.write_text(json.dumps(configuration))
     true_time = time.time
@@ -54,17 +54,17 @@
         try:
             await until(lambda: node.clients.ready and node.discovery.may_have_missed_updates)
             before, boot_ms = loop.time(), int(true_time() * 1000)
-            await loop.run_in_executor(None, roster.change, list_entry("new", boot_ms))
+            await loop.run_in_executor(None, roster.publish, list_entry("new", boot_ms))
             await until(lambda: "new" in workers)
             warm_at = workers["new"].warm_at
             assert before + WARM_AFTER_S - REPORT_DELAY_S <= warm_at <= loop.time() + WARM_AFTER_S
             # A repeated report is the same start; a report with another time is another start.
-            await loop.run_in_executor(None, roster.change, list_entry("new", boot_ms, "gone"))
+            await loop.run_in_executor(None, roster.publish, list_entry("new", boot_ms, "gone"))
             await until(lambda: "new" not in workers)
-            await loop.run_in_executor(None, roster.change, list_entry("new", boot_ms))
+            await loop.run_in_executor(None, roster.publish, list_entry("new", boot_ms))
             await until(lambda: "new" in workers)
             assert workers["new"].warm_at == warm_at
-            await loop.run_in_executor(None, roster.change, list_entry("new", boot_ms + 500))
+            await loop.run_in_executor(None, roster.publish, list_entry("new", boot_ms + 500))
             await until(lambda: workers["new"].warm_at > warm_at)
         finally:
             node.close()
--- a/tests/test_subsetting_serve.py
+++ b/tests/test_subsetting_serve.py
@@ -9,13 +9,13 @@
 from typing import Any
 
 import pytest
-from routes import Serving
-from scenario import PATIENCE
+from routes import RoutedDispatcher
+from scenario import TIMEOUT_S
 
 from wickgw import interface as i
 from wickgw.config.ini import read_ini
 from wickgw.config.relay import ConfigError
-from wickgw.emulator.worker import Worker
+from wickgw.emulator.worker import EmulatedWorker
 from wickgw.net.pool_server import PoolServer
 
 WORKERS, DISPATCHERS = 300, 60
@@ -24,17 +24,17 @@
 ROUTES = "[pool:all]\n[route:all]\npools = all\n"
 
 
-class Fleet(Serving):
+class Fleet(RoutedDispatcher):
     """One of 60 dispatchers with a list of 300 workers, which are served by a few emulated workers."""
 
     def __init__(self, folder: Path, text: str) -> None:
         super().__init__(folder, ROUTES + text)
         self.wait_until_read()
 
-    def list(self, **states: str) -> dict[str, object]:
+    def worker_list(self, **states: str) -> dict[str, object]:
         emulated = list(self.workers.values())
         targets = [
-            emulated[number % len(emulated)].listed()
+            emulated[number % len(emulated)].list_entry()
             | {
                 "uid": f"s-{number:04x}",
                 "az": ("west", "east")[number % 2],
@@ -48,26 +48,26 @@
     def pool(self) -> PoolServer:
         return self.node.pools.servers["all"]
 
-    def tell(self, **states: str) -> None:
-        super().tell(**states)
+    def update_list(self, **states: str) -> None:
+        super().update_list(**states)
         self.wait_until_read()
 
     def change(self, targets: Sequence[dict[str, object]]) -> None:
         """Deliver an update for some workers of the list."""
         decoded = self.node.discovery.reader.decode({"rev": 2, "all": False, "targets": targets}).targets
-        self.run(lambda: self.node._on_update(i.ListKind.UPDATE, decoded))
+        self.call_in_loop(lambda: self.node._on_update(i.ListKind.UPDATE, decoded))
         self.wait_until_read()
 
     def targets(self, **states: str) -> Sequence[dict[str, object]]:
         """Return the entries of the list."""
-        targets: Any = self.list(**states)["targets"]
+        targets: Any = self.worker_list(**states)["targets"]
         return tuple(targets)
 
     def wait_until_read(self) -> None:
         """Wait until the list is processed; a long list takes several iterations of the event loop."""
         started = time.monotonic()
-        while self.run(self.is_reading):
-            assert time.monotonic() < started + PATIENCE
+        while self.call_in_loop(self.is_reading):
+            assert time.monotonic() < started + TIMEOUT_S
 
     def is_reading(self) -> bool:
         """Whether a part of the list is not processed yet."""
@@ -77,7 +77,7 @@
     def ready(self) -> set[str]:
         """Return the workers that the decision module may select, read on the event loop's thread."""
         balancer = self.pool.dispatcher.balancer
-        ready = self.run(
+        ready = self.call_in_loop(
             lambda: {state.id for state in balancer.members if state.ready} | set(balancer.standby)
         )
         assert isinstance(ready, set)
@@ -85,7 +85,7 @@
 
     def connected(self) -> set[str]:
         """Return the workers that have, or may get, connections."""
-        names = self.run(lambda: set(self.pool.connections.endpoints))
+        names = self.call_in_loop(lambda: set(self.pool.connections.endpoints))
         assert isinstance(names, set)
         return names
 
@@ -93,7 +93,7 @@
         """Return whether the subset counts consecutive failures of any worker."""
         assert self.pool.subset is not None
         known = self.pool.subset.subset.known
-        return self.run(lambda: any(worker.failures for worker in known.values()))
+        return self.call_in_loop(lambda: any(worker.failures for worker in known.values()))
 
     def gauges(self) -> dict[str, Any]:
         report: Any = self.report()
@@ -112,17 +112,17 @@
     assert gauges["fleet_workers"] == WORKERS and gauges["subset_substitutes"] == 0
     assert 25 <= len(fleet.ready()) == gauges["subset_members"] <= 75
     assert fleet.connected() == fleet.ready()
-    assert [fleet.ask("/look")[0] for _ in range(20)] == [200] * 20
+    assert [fleet.send_job("/look")[0] for _ in range(20)] == [200] * 20
 
 
 def test_drained_members_get_no_more_jobs_and_substitutes_serve(fleet: Fleet) -> None:
     members = fleet.ready()
-    fleet.tell(**dict.fromkeys(members, "draining"))
+    fleet.update_list(**dict.fromkeys(members, "draining"))
     substitutes = fleet.ready()
     assert len(substitutes) >= 30 and not substitutes & members
-    assert [fleet.ask("/look")[0] for _ in range(20)] == [200] * 20
+    assert [fleet.send_job("/look")[0] for _ in range(20)] == [200] * 20
     assert members <= fleet.connected()  # running jobs finish on their worker
-    fleet.tell()
+    fleet.update_list()
     assert members <= fleet.ready()
 
 
@@ -132,14 +132,14 @@
     gone = {str(target["uid"]): "gone" for target in fleet.targets()[:-8]}
     fleet.change([target for target in fleet.targets(**gone) if target["uid"] in gone])
     assert fleet.ready() <= left and fleet.connected() == fleet.ready()
-    assert [fleet.ask("/look")[0] for _ in range(20)] == [200] * 20
+    assert [fleet.send_job("/look")[0] for _ in range(20)] == [200] * 20
 
 
 def test_member_with_a_new_address_gets_jobs_at_that_address(fleet: Fleet) -> None:
-    moved = Worker("moved")
+    moved = EmulatedWorker("moved")
     fleet.workers["moved"] = moved
-    fleet.change([target | {"endpoint": moved.listed()["endpoint"]} for target in fleet.targets()])
-    assert [fleet.ask("/look") for _ in range(20)] == [(200, "moved")] * 20
+    fleet.change([target | {"endpoint": moved.list_entry()["endpoint"]} for target in fleet.targets()])
+    assert [fleet.send_job("/look") for _ in range(20)] == [(200, "moved")] * 20
 
 
 def test_members_whose_attempts_fail_are_replaced(fleet: Fleet) -> None:
@@ -152,17 +152,17 @@
                 fleet.pool.subset.attempt_ended(name, i.Verdict.RESET)
             fleet.pool.subset.attempt_ended(name, i.Verdict.CANCELLED)  # not counted
 
-    fleet.run(fail)
+    fleet.call_in_loop(fail)
     assert len(fleet.ready() - members) >= 25
 
 
 def test_attempts_that_fail_on_sockets_are_counted_for_their_worker(fleet: Fleet) -> None:
     for worker in fleet.workers.values():
         worker.close()
-    status, _ = fleet.ask("/look")
+    status, _ = fleet.send_job("/look")
     assert status == 503
     assert fleet.has_failures()
-    fleet.workers = {"e1": Worker("e1")}  # the others are closed already
+    fleet.workers = {"e1": EmulatedWorker("e1")}  # the others are closed already
 
 
 def test_fleet_that_fits_into_a_subset_is_used_whole(tmp_path: Path) -> None:
@@ -198,14 +198,14 @@
 
 
 def test_dispatcher_missing_from_its_own_list_exits_with_one_line(tmp_path: Path) -> None:
-    serving = Serving(tmp_path, ROUTES)  # only for its configuration and list
+    serving = RoutedDispatcher(tmp_path, ROUTES)  # only for its configuration and list
     serving.close()
     path = tmp_path / "wickgw.ini"
     path.write_text(INI.replace("n0=west ", ""))
     environ = {key: value for key, value in os.environ.items() if not key.startswith(("RELAY_", "WICKGW_"))}
     environ |= {"RELAY_CONFIG": str(serving.config), "WICKGW_INI": str(path)}
     done = subprocess.run(
-        [sys.executable, "-m", "wickgw", "serve"], env=environ, capture_output=True, timeout=PATIENCE
+        [sys.executable, "-m", "wickgw", "serve"], env=environ, capture_output=True, timeout=TIMEOUT_S
     )
     lines = done.stderr.decode().splitlines()
     assert done.returncode == 2 and len(lines) == 1
@@ -214,5 +214,5 @@
 
 def test_subsetting_is_not_imported_when_disabled() -> None:
     code = "import sys, wickgw.node; print([m for m in sys.modules if 'subset' in m])"
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True, timeout=PATIENCE)
+    done = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True, timeout=TIMEOUT_S)
     assert done.stdout.decode().strip() == "[]"
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from scenario import Scene
+from scenario import Scenario
 
 from wickgw.net.dispatch import Clock
 from wickgw.net.worker_list import ENTRIES_PER_STEP, ListError, ListReader
@@ -22,8 +22,8 @@
     return f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}"
 
 
-def send_list(scene: Scene, connection_name: str, version: int, *targets: dict[str, object]) -> None:
-    scene._at(connection_name).sendall(list_response(version, *targets).encode())
+def send_list(scene: Scenario, connection_name: str, version: int, *targets: dict[str, object]) -> None:
+    scene._connection(connection_name).sendall(list_response(version, *targets).encode())
 
 
 def test_long_list_parsed_in_steps_equals_the_decoded_one() -> None:
@@ -77,24 +77,26 @@
 
 
 def test_list_with_a_malformed_last_entry_is_not_accepted() -> None:
-    scene = Scene(known="w0")
+    scene = Scenario(known="w0")
     try:
-        long_list = entries(3 * ENTRIES_PER_STEP, scene.address("w1"))
-        scene.play("d expect GET /api/targets HTTP.*\\r\\n\\r\\n")
+        long_list = entries(3 * ENTRIES_PER_STEP, scene.endpoint("w1"))
+        scene.run_script("d expect GET /api/targets HTTP.*\\r\\n\\r\\n")
         send_list(scene, "d", 5, *long_list, {"uid": "s-last", "endpoint": "nowhere"})
-        scene.play("d expect end")
-        scene.play("d/2 expect GET\na send job 1\nw0 gets 1")  # the list known at the start is still in use
+        scene.run_script("d expect end")
+        scene.run_script(
+            "d/2 expect GET\na send job 1\nw0 gets 1"
+        )  # the list known at the start is still in use
     finally:
         scene.close()
 
 
 def test_complete_long_list_is_accepted_though_its_connection_closes() -> None:
-    scene = Scene(known="")
+    scene = Scenario(known="")
     try:
-        long_list = entries(4 * ENTRIES_PER_STEP, scene.address("w1"))
-        scene.play("d expect GET /api/targets HTTP")
+        long_list = entries(4 * ENTRIES_PER_STEP, scene.endpoint("w1"))
+        scene.run_script("d expect GET /api/targets HTTP")
         send_list(scene, "d", 5, *long_list)
-        scene.play("d close\nd/2 expect index=5&\na send job 1\nw1 gets 1")
+        scene.run_script("d close\nd/2 expect index=5&\na send job 1\nw1 gets 1")
         report = scene.node.report()
         assert report["now"]["peers"] == len(long_list)  # type: ignore[index]
     finally:
--- a/wickgw/emulator/__init__.py
+++ b/wickgw/emulator/__init__.py
@@ -1,2 +1,5 @@
-"""Stand-ins for what surrounds dispatchers, for tests and measurements: all on loopback, all in this process
-but for the dispatchers themselves. Never imported by a serving program."""
+"""Emulated workers, discovery service, clients and networks for tests and benchmarks.
+
+Sockets are real and on loopback. Everything runs in the calling process except the dispatchers, which are
+real `wickgw serve` processes. A serving program must not import this package.
+"""
--- a/wickgw/emulator/hollow/clock.py
+++ b/wickgw/emulator/fleet_simulation/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: callbacks in the order of their times."""
+"""Virtual time: runs callbacks in the order of their times."""
 
 import heapq
 import itertools
@@ -8,7 +8,7 @@
 
 
 class VirtualClock:
-    """Runs callbacks at their virtual times; ties in the order in which they were set."""
+    """Runs callbacks at virtual times, in seconds; those of the same time in the order of scheduling."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -16,15 +16,15 @@
         self._serial = itertools.count()
 
     def after(self, seconds: float, callback: Callback) -> None:
-        """Call back after so many seconds."""
+        """Schedule a callback after `seconds`; a negative delay counts as zero."""
         self.at(self.now + max(0.0, seconds), callback)
 
     def at(self, time: float, callback: Callback) -> None:
-        """Call back at a time, which is not before now."""
+        """Schedule a callback at `time`; a time in the past counts as now."""
         heapq.heappush(self._due, (max(time, self.now), next(self._serial), callback))
 
     def run_until(self, end: float) -> None:
-        """Run all that is due up to a time."""
+        """Run all callbacks that are due up to `end`, and set the clock to `end`."""
         while self._due and self._due[0][0] <= end:
             self.now, _, callback = heapq.heappop(self._due)
             callback()
--- a/wickgw/emulator/probe.py
+++ b/wickgw/emulator/probe.py
@@ -1,8 +1,9 @@
-"""A client that asks all the time, and says from outside who answered on an address, and when nobody did.
+"""A client that polls a service address and records which dispatcher answered, and when none did.
 
-Owns its connections and one thread. Two kinds of askers: some open a connection for each question, since a
-new one may reach anybody who listens; some keep theirs, since an old one may be answered by who holds no
-more. Each answer names its instance and term. It must never learn anything but from answers.
+The probe owns its connections and one thread. Some pollers open a new connection for each request, because a
+new connection reaches any process that listens. The others keep their connection, because a former holder may
+still answer on an old one. Each answer names its dispatcher and term. Every conclusion comes from answers
+alone.
 """
 
 import itertools
@@ -13,36 +14,45 @@
 import time
 from dataclasses import dataclass
 
-GIVE_UP = 0.25  # seconds without an answer before an asker asks again, on a new connection
+ANSWER_TIMEOUT_S = 0.25  # after this time a poller drops its connection and asks again on a new one
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """One answer."""
+class ProbeAnswer:
+    """One answer; times are of the monotonic clock, in seconds."""
 
-    asked: float
-    answered: float
-    name: str
+    sent_at: float
+    answered_at: float
+    name: str  # of the dispatcher
     term: int
 
 
-class _Asker:
-    def __init__(self, probe: "Probe", keeps: bool) -> None:
-        self.probe, self.keeps = probe, keeps
+class _Poller:
+    """One connection at a time, on which the probe sends one request after another.
+
+    Args:
+        probe: The probe that collects the answers.
+        keeps_connection: Whether further requests use the same connection.
+    """
+
+    def __init__(self, probe: "AddressProbe", keeps_connection: bool) -> None:
+        self.probe, self.keeps_connection = probe, keeps_connection
         self.sock: socket.socket | None = None
-        self.asked = self.due = 0.0
+        self.sent_at = self.due = 0.0
         self.data = b""
 
-    def ask(self, now: float) -> None:
-        self.asked, self.data = now, b""
+    def send(self, now: float) -> None:
+        """Begin a request at `now`, connecting first if there is no connection."""
+        self.sent_at, self.data = now, b""
         if self.sock is None:
             self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-            self.sock.connect_ex(self.probe.where)
+            self.sock.connect_ex(self.probe.service_address)
             self.probe.selector.register(self.sock, selectors.EVENT_WRITE, self)
         else:
             self.write()
 
     def write(self) -> None:
+        """Write the request."""
         assert self.sock is not None
         self.probe.selector.modify(self.sock, selectors.EVENT_READ, self)
         try:
@@ -51,105 +61,148 @@
             self.drop()
 
     def read(self, now: float) -> None:
+        """Read what has arrived, and record the answer once it is complete."""
         assert self.sock is not None
         try:
-            piece = self.sock.recv(65536)
+            chunk = self.sock.recv(65536)
         except BlockingIOError:
             return
         except OSError:
-            piece = b""
-        if not piece:
+            chunk = b""
+        if not chunk:
             self.drop()
             return
-        self.data += piece
+        self.data += chunk
         head, end, body = self.data.partition(b"\r\n\r\n")
         if not end:
             return
         length = next(
-            int(x.split(b":")[1]) for x in head.split(b"\r\n") if x.lower().startswith(b"content-length")
+            int(line.split(b":")[1])
+            for line in head.split(b"\r\n")
+            if line.lower().startswith(b"content-length")
         )
         if len(body) < length:
             return
-        said = json.loads(body)
-        term = said["addresses"][self.probe.address]["term"]
-        self.probe.seen.append(Seen(self.asked, now, said["me"], term))
-        self.asked = 0.0
-        self.due = now + self.probe.every
-        if not self.keeps or b"connection: close" in head.lower():
+        report = json.loads(body)
+        term = report["addresses"][self.probe.address]["term"]
+        self.probe.answers.append(ProbeAnswer(self.sent_at, now, report["me"], term))
+        self.sent_at = 0.0
+        self.due = now + self.probe.interval_s
+        if not self.keeps_connection or b"connection: close" in head.lower():
             self.drop()
 
     def drop(self) -> None:
+        """Close the connection; the next request is due after 1 ms at the earliest."""
         if self.sock is not None:
             self.probe.selector.unregister(self.sock)
             self.sock.close()
             self.sock = None
-        self.asked = 0.0
+        self.sent_at = 0.0
         self.due = max(self.due, time.monotonic() + 0.001)
 
 
-class Probe:
-    """Asks at `where` until it is closed; `seen` grows."""
-
-    def __init__(self, where: tuple[str, int], address: str, fresh: int = 4, kept: int = 4) -> None:
-        self.where, self.address, self.every = where, address, 0.004
-        self.seen: list[Seen] = []
+class AddressProbe:
+    """Polls a service address in a thread until it is closed; `answers` grows in the order of arrival.
+
+    Args:
+        service_address: Host and port of the service address.
+        address: Name of the service address in the report of `GET /-/address`.
+        new_connections: Number of pollers that open a connection for each request.
+        kept_connections: Number of pollers that keep their connection.
+    """
+
+    def __init__(
+        self,
+        service_address: tuple[str, int],
+        address: str,
+        new_connections: int = 4,
+        kept_connections: int = 4,
+    ) -> None:
+        self.service_address, self.address, self.interval_s = service_address, address, 0.004
+        self.answers: list[ProbeAnswer] = []
         self.selector = selectors.DefaultSelector()
-        self._askers = [_Asker(self, n >= fresh) for n in range(fresh + kept)]
-        self._ends = False
+        self._pollers = [
+            _Poller(self, n >= new_connections) for n in range(new_connections + kept_connections)
+        ]
+        self._closing = False
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
     def _run(self) -> None:
-        while not self._ends:
+        while not self._closing:
             for key, mask in self.selector.select(0.001):
-                asker: _Asker = key.data
+                poller: _Poller = key.data
                 if mask & selectors.EVENT_WRITE:
-                    asker.write()
+                    poller.write()
                 else:
-                    asker.read(time.monotonic())
+                    poller.read(time.monotonic())
             now = time.monotonic()
-            for asker in self._askers:
-                if asker.asked and now > asker.asked + GIVE_UP:
-                    asker.drop()
-                elif not asker.asked and now >= asker.due:
-                    asker.ask(now)
-        for asker in self._askers:
-            asker.drop()
+            for poller in self._pollers:
+                if poller.sent_at and now > poller.sent_at + ANSWER_TIMEOUT_S:
+                    poller.drop()
+                elif not poller.sent_at and now >= poller.due:
+                    poller.send(now)
+        for poller in self._pollers:
+            poller.drop()
 
     def close(self) -> None:
-        """End the thread."""
-        self._ends = True
+        """End the thread and close all connections."""
+        self._closing = True
         self._thread.join(5)
         self.selector.close()
 
-    def wait_for(self, name: str | None, after: float, patience: float = 10.0, but: str = "") -> Seen:
-        """The first answer of `name` (or of anybody but `but`) asked after a moment. Raises TimeoutError."""
-        end = time.monotonic() + patience
+    def wait_for_answer(
+        self, name: str | None, after: float, timeout_s: float = 10.0, excluding: str = ""
+    ) -> ProbeAnswer:
+        """Wait for the first answer to a request sent at `after` or later.
+
+        Args:
+            name: The dispatcher whose answer counts; None for any dispatcher other than `excluding`.
+            after: Earliest time of the request, on the monotonic clock.
+            timeout_s: Seconds to wait.
+            excluding: A dispatcher whose answers do not count.
+
+        Raises:
+            TimeoutError: No such answer arrived in time.
+        """
+        end = time.monotonic() + timeout_s
         while time.monotonic() < end:
-            for seen in reversed(self.seen[-200:]):
-                if seen.asked >= after and seen.name != but and name in (None, seen.name):
+            for answer in reversed(self.answers[-200:]):
+                if answer.sent_at >= after and answer.name != excluding and name in (None, answer.name):
                     return next(
-                        s for s in self.seen if s.asked >= after and s.name != but and name in (None, s.name)
+                        candidate
+                        for candidate in self.answers
+                        if candidate.sent_at >= after
+                        and candidate.name != excluding
+                        and name in (None, candidate.name)
                     )
             time.sleep(0.002)
         raise TimeoutError("no such answer")
 
-    def overlap(self) -> float:
-        """Seconds for which answers of two instances crossed, at most: from the first answer of one to the
-        last of the other. What the client itself took to read them is in it."""
-        reigns: dict[tuple[str, int], tuple[float, float]] = {}
-        for seen in sorted(self.seen, key=lambda s: s.answered):
-            first, _ = reigns.get((seen.name, seen.term), (seen.answered, 0.0))
-            reigns[seen.name, seen.term] = first, seen.answered
-        spans = sorted((first, last, who) for who, (first, last) in reigns.items())
-        worst = 0.0
-        for k, (_, last, who) in enumerate(spans):
+    def longest_overlap_s(self) -> float:
+        """Return the longest time in which two dispatchers both answered, in seconds.
+
+        An overlap begins with the first answer of one dispatcher in a term. It ends with the last answer of
+        another dispatcher whose term began earlier, or of the first dispatcher if that came before. The time
+        that the probe itself took to read the answers is included.
+        """
+        terms: dict[tuple[str, int], tuple[float, float]] = {}
+        for answer in sorted(self.answers, key=lambda a: a.answered_at):
+            first, _ = terms.get((answer.name, answer.term), (answer.answered_at, 0.0))
+            terms[answer.name, answer.term] = first, answer.answered_at
+        spans = sorted((first, last, holder) for holder, (first, last) in terms.items())
+        longest = 0.0
+        for k, (_, last, holder) in enumerate(spans):
             for first, other_last, other in spans[k + 1 :]:
-                if other[0] != who[0]:
-                    worst = max(worst, min(last, other_last) - first)
-        return worst
-
-    def away(self, since: float, until: float) -> float:
-        """The longest time without an answer in a stretch, in seconds."""
-        times = [since, *sorted(s.answered for s in self.seen if since <= s.answered <= until), until]
+                if other[0] != holder[0]:
+                    longest = max(longest, min(last, other_last) - first)
+        return longest
+
+    def longest_outage_s(self, since: float, until: float) -> float:
+        """Return the longest time without an answer between two moments, in seconds."""
+        times = [
+            since,
+            *sorted(answer.answered_at for answer in self.answers if since <= answer.answered_at <= until),
+            until,
+        ]
         return max(b - a for a, b in itertools.pairwise(times))
--- a/wickgw/emulator/serve_process.py
+++ b/wickgw/emulator/serve_process.py
@@ -1,7 +1,7 @@
-"""One real `serve` process on loopback, and what the operating system says of it.
+"""One real `wickgw serve` process on loopback, with its resource usage as the operating system reports it.
 
-Owns the process and its files in one folder. Peak memory, processor time and descriptors come from /proc, not
-from the program's own counters. It must never end a process that it did not start.
+This module owns the process and its files in one folder. Peak memory, CPU time and file descriptors are read
+from /proc, not from the program's own counters. Only the process that was started here is ended.
 """
 
 import json
@@ -17,37 +17,57 @@
 from pathlib import Path
 from typing import Any
 
-from wickgw.emulator.group import free_port
+from wickgw.emulator.dispatcher_processes import free_port
 
-MS = 1_000_000
-CLASS = "look"
+NS_PER_MS = 1_000_000
+CLASS_NAME = "look"
 JOB_DEADLINE_MS = 2000
-READY_TIMEOUT_S = 30.0  # as the platform waits
-POLL_S = 0.02
+READY_TIMEOUT_S = 30.0  # the platform's own limit
+POLL_INTERVAL_S = 0.02
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
-def settings_for(dispatchers: int, **more: Any) -> dict[str, Any]:
-    """The platform's settings for one class of safe jobs, with the list pushed."""
-    service = {"name": CLASS, "target-ns": 200 * MS, "hard-limit-ns": 3000 * MS, "idempotency": "read_like"}
+def platform_settings(dispatchers: int, **overrides: Any) -> dict[str, Any]:
+    """Return the platform's settings for one class of repeatable jobs, with the list pushed by discovery.
+
+    Args:
+        dispatchers: Number of dispatchers of the deployment.
+        overrides: Top-level keys that replace the defaults.
+    """
+    service = {
+        "name": CLASS_NAME,
+        "target-ns": 200 * NS_PER_MS,
+        "hard-limit-ns": 3000 * NS_PER_MS,
+        "idempotency": "read_like",
+    }
     return {
         "services": [service | {"worth": 1.0}],
         "siblings": dispatchers,
         "bounds": {
             "attempts-cap": 3,
             "cancel": True,
-            "connect-timeout-ns": 250 * MS,
-            "conn-idle-ns": 10_000 * MS,
+            "connect-timeout-ns": 250 * NS_PER_MS,
+            "conn-idle-ns": 10_000 * NS_PER_MS,
         },
-        "family-info": {"tells-start": True, "progress-ns": 1000 * MS, "class-stretch": [2.0]},
+        "family-info": {"tells-start": True, "progress-ns": 1000 * NS_PER_MS, "class-stretch": [2.0]},
         "zones": ["east"],
         "discovery": "push",
-        "rules": {"drain-grace-ns": 2000 * MS, "cold-from": 0.2, "warm-after-ns": 20_000 * MS},
-    } | more
+        "rules": {"drain-grace-ns": 2000 * NS_PER_MS, "cold-from": 0.2, "warm-after-ns": 20_000 * NS_PER_MS},
+    } | overrides
 
 
 class ServeProcess:
-    """One dispatcher, started at once."""
+    """One dispatcher process, started by the constructor.
+
+    Args:
+        folder: Directory for configuration and log.
+        name: Name of the dispatcher and of its files.
+        discovery: Endpoint of the discovery service.
+        settings: The platform's settings.
+        known: Entries of the list of workers in the configuration; None leaves the list out.
+        memory_mb: The platform's memory limit.
+        sockets: The platform's limit of descriptors.
+    """
 
     def __init__(
         self,
@@ -59,9 +79,9 @@
         memory_mb: int = 96,
         sockets: int = 640,
     ) -> None:
-        self.port, self.config = free_port(socket.SOCK_STREAM), folder / f"{name}.json"
-        self.log = folder / f"{name}.log"
-        told: dict[str, Any] = {
+        self.port, self.config_file = free_port(socket.SOCK_STREAM), folder / f"{name}.json"
+        self.log_file = folder / f"{name}.log"
+        config: dict[str, Any] = {
             "name": name,
             "listen": f"127.0.0.1:{self.port}",
             "discovery": discovery,
@@ -70,44 +90,55 @@
             "settings": settings,
         }
         if known is not None:
-            told["known"] = {"rev": 1, "all": True, "targets": list(known)}
-        self.config.write_text(json.dumps(told))
+            config["known"] = {"rev": 1, "all": True, "targets": list(known)}
+        self.config_file.write_text(json.dumps(config))
         environ = {k: v for k, v in os.environ.items() if not k.startswith(("RELAY_", "WICKGW_"))}
-        environ |= {"RELAY_CONFIG": str(self.config), "OPENBLAS_NUM_THREADS": "1", "OMP_NUM_THREADS": "1"}
+        environ |= {
+            "RELAY_CONFIG": str(self.config_file),
+            "OPENBLAS_NUM_THREADS": "1",
+            "OMP_NUM_THREADS": "1",
+        }
         command = [sys.executable, "-m", "wickgw", "serve"]
-        with self.log.open("ab") as log:
+        with self.log_file.open("ab") as log:
             self.process = subprocess.Popen(command, env=environ, stdout=log, stderr=log)
 
     def wait_ready(self) -> float:
-        """Seconds until it says that it is ready. Raises TimeoutError."""
+        """Wait until `/-/ready` answers with success, and return the seconds that it took.
+
+        Raises:
+            RuntimeError: The process has ended.
+            TimeoutError: The process is not ready within `READY_TIMEOUT_S`.
+        """
         began = time.monotonic()
         while time.monotonic() < began + READY_TIMEOUT_S:
             if self.process.poll() is not None:
-                raise RuntimeError(f"ended with {self.process.returncode}: {self.log.read_text()[-500:]}")
-            if self.page("/-/ready"):
+                raise RuntimeError(
+                    f"ended with status {self.process.returncode}: {self.log_file.read_text()[-500:]}"
+                )
+            if self.fetch("/-/ready"):
                 return time.monotonic() - began
-            time.sleep(POLL_S)  # between looks at another process
-        raise TimeoutError("not ready")
+            time.sleep(POLL_INTERVAL_S)
+        raise TimeoutError("the process is not ready")
 
-    def page(self, path: str) -> bytes:
-        """One of its own pages; empty while it refuses."""
+    def fetch(self, path: str) -> bytes:
+        """Return the body of a page of the dispatcher; empty if it refuses or does not answer."""
         try:
             with urllib.request.urlopen(f"http://127.0.0.1:{self.port}{path}", timeout=5) as answer:
                 return bytes(answer.read())
         except OSError:
             return b""
 
-    def now(self) -> dict[str, Any]:
-        """What it says that it holds; empty if it does not answer."""
-        told: dict[str, Any] = json.loads(self.page("/-/counters") or b"{}").get("now", {})
-        return told
+    def gauges(self) -> dict[str, Any]:
+        """Return the current values of `/-/counters`; empty if the dispatcher does not answer."""
+        gauges: dict[str, Any] = json.loads(self.fetch("/-/counters") or b"{}").get("now", {})
+        return gauges
 
-    def job(self, name: str) -> int:
-        """Hand in one job; the status of its answer, 0 if there was none."""
-        fields = {"Req-Id": name, "Req-Deadline-Ms": str(JOB_DEADLINE_MS)}
-        call = urllib.request.Request(f"http://127.0.0.1:{self.port}/{CLASS}", b"", fields)
+    def send_job(self, request: str) -> int:
+        """Send one job and return the status of its answer; 0 if there was none."""
+        fields = {"Req-Id": request, "Req-Deadline-Ms": str(JOB_DEADLINE_MS)}
+        http_request = urllib.request.Request(f"http://127.0.0.1:{self.port}/{CLASS_NAME}", b"", fields)
         try:
-            with urllib.request.urlopen(call, timeout=JOB_DEADLINE_MS / 1000 + 1) as answer:
+            with urllib.request.urlopen(http_request, timeout=JOB_DEADLINE_MS / 1000 + 1) as answer:
                 answer.read()
                 return int(answer.status)
         except urllib.error.HTTPError as error:
@@ -116,26 +147,26 @@
             return 0
 
     def peak_memory_mb(self) -> float:
-        """The most that was ever resident, in megabytes."""
+        """Return the peak resident memory, in megabytes."""
         lines = Path(f"/proc/{self.process.pid}/status").read_text().splitlines()
         kilobytes = next(int(line.split()[1]) for line in lines if line.startswith("VmHWM:"))
         return kilobytes * 1024 / 1e6
 
     def cpu_s(self) -> float:
-        """Processor time since its start, in seconds."""
+        """Return the CPU time since the start of the process, in seconds."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
     def descriptors(self) -> int:
-        """Descriptors that are open."""
+        """Return the number of open file descriptors."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
     def reload(self) -> None:
-        """Have it read its configuration again."""
+        """Make the dispatcher reload its configuration (SIGHUP)."""
         self.process.send_signal(signal.SIGHUP)
 
     def stop(self) -> int:
-        """End it; its exit status."""
+        """End the process, by SIGKILL after 10 s, and return its exit status."""
         if self.process.poll() is None:
             self.process.terminate()
         try:
--- a/wickgw/emulator/worker.py
+++ b/wickgw/emulator/worker.py
@@ -1,7 +1,8 @@
-"""A stand-in label worker on a real socket: takes jobs as the platform's protocol says, and counts runs.
+"""An emulated label worker on a real socket that runs jobs by the platform's protocol and counts runs.
 
-Owns its listening socket and one thread with an asyncio loop. Each job runs for a given time and is reported
-started and done; how often each id ran is kept, for checkers. It must never answer a job that it did not run.
+The worker owns its listening socket and one thread with an asyncio loop. Each job takes a fixed time and is
+reported as started and then as done. The number of runs of each request is kept for the checks of tests. A
+job is only answered after it ran.
 """
 
 import asyncio
@@ -10,12 +11,17 @@
 from collections import Counter
 
 
-class Worker:
-    """One worker; jobs run for `seconds`, at once and side by side."""
+class EmulatedWorker:
+    """One worker that runs any number of jobs concurrently.
 
-    def __init__(self, name: str, seconds: float = 0.005) -> None:
-        self.name, self.seconds = name, seconds
-        self.runs: Counter[str] = Counter()
+    Args:
+        name: Name in the list of workers and in job events.
+        run_s: Run time of a job, in seconds.
+    """
+
+    def __init__(self, name: str, run_s: float = 0.005) -> None:
+        self.name, self.run_s = name, run_s
+        self.run_counts: Counter[str] = Counter()  # by request id
         self.endpoint = ""
         self._loop = asyncio.new_event_loop()
         self._ready = threading.Event()
@@ -38,18 +44,20 @@
                 head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
                 fields = dict(line.lower().split(": ", 1) for line in head.split("\r\n")[1:] if ": " in line)
                 await reader.readexactly(int(fields.get("content-length", "0")))
-                name = fields["req-id"]
-                self.runs[name] += 1
+                request = fields["req-id"]
+                self.run_counts[request] += 1
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                writer.write(_event(name, self.name, state="started"))
-                await asyncio.sleep(self.seconds)
-                writer.write(_event(name, self.name, state="done", result=f"made {name}") + b"0\r\n\r\n")
+                writer.write(_job_event(request, self.name, state="started"))
+                await asyncio.sleep(self.run_s)
+                writer.write(
+                    _job_event(request, self.name, state="done", result=f"made {request}") + b"0\r\n\r\n"
+                )
                 await writer.drain()
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    def listed(self) -> dict[str, object]:
-        """Its entry in the list of workers."""
+    def list_entry(self) -> dict[str, object]:
+        """Return the worker's entry in the list of workers."""
         return {"uid": self.name, "endpoint": self.endpoint, "az": "east", "state": "ready", "boot_ms": 0}
 
     def close(self) -> None:
@@ -58,6 +66,7 @@
         self._thread.join(5)
 
 
-def _event(name: str, worker: str, **more: str) -> bytes:
-    line = json.dumps({"id": name, "from": worker, **more}).encode() + b"\n"
+def _job_event(request: str, worker: str, **fields: str) -> bytes:
+    """Return one job event as a chunk of an HTTP body."""
+    line = json.dumps({"id": request, "from": worker, **fields}).encode() + b"\n"
     return b"%x\r\n%s\r\n" % (len(line), line)
