--- a/benchmarks/address.py
+++ b/benchmarks/address.py
@@ -65,6 +65,7 @@
             probe.wait_for_answer(holder, time.monotonic())
             start = time.monotonic()
             fault(holder)
+            # A stall of 80 ms does not move the address, so the next answer is from the same holder.
             back = probe.wait_for_answer(None, start, excluding="" if "80 ms" in results.kind else holder)
             pause = threading.Event()
             pause.wait(REPAIR_DELAY_S)
--- a/benchmarks/capacity_fleet.py
+++ b/benchmarks/capacity_fleet.py
@@ -36,7 +36,7 @@
         Fault(FaultKind.RACK, 12.0, 8.0, 3 * 19 / 1300),  # the rack is in one of three zones
     ),
 }
-# The largest fleet whose simulation with the whole view takes minutes and less than half of the memory.
+# The largest fleet whose simulation with the whole view takes minutes and less than half of the machine's memory.
 DISPATCHERS, WORKERS, ZONES, REGIONS = 60, 325, 3, 2
 
 
@@ -66,7 +66,7 @@
     """
     starts_per_s, running_jobs = 520.0, 22_000
     mean_run_s = running_jobs / starts_per_s
-    # The urgent class sets the rate of learning, which takes one step in each smallest aim.
+    # The interval of learning steps follows from the shortest latency target, that of the urgent class.
     classes = (
         i.RequestClass("urgent", latency_target=1.0, deadline=600.0, worth=3.0, stretch=2.0),
         i.RequestClass("task", latency_target=9.8, deadline=600.0, stretch=2.0),
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -37,23 +37,27 @@
         for n in range(3):
             lines += [f"[worker:{zone}{n}]", f"zone = {zone}", ""]
     lines += ["[route:all]", "path_prefix = /", f"pools = {' '.join(zones)}", ""]
-    for k in range(1, routes):
+    for number in range(1, routes):
         host, zone = int(rng.integers(host_count)), zones[int(rng.integers(3))]
-        lines += [f"[route:r{k}]", f"host = shop{host}.example.org"]
+        lines += [f"[route:r{number}]", f"host = shop{host}.example.org"]
         path_draw = rng.random()
         if path_draw < 0.2:
-            lines.append(f"path_pattern = /look/v{k}/[0-9]+")
+            lines.append(f"path_pattern = /look/v{number}/[0-9]+")
         elif path_draw < 0.4:
-            lines.append(f"path = /look/v{k}/status")
+            lines.append(f"path = /look/v{number}/status")
         else:
-            lines.append(f"path_prefix = /look/v{k}")
+            lines.append(f"path_prefix = /look/v{number}")
         if rng.random() < 0.3:
             lines.append(f"zone = {zone}")
         if rng.random() < 0.1:
             lines.append("header.X-Shop = present")
         lines += [f"pools = {zone} {zones[0] if zone != zones[0] else zones[1]}", ""]
-        if k % 2:
-            lines += [f"[expect:e{k}]", f"host = shop{host}.example.org", f"path_prefix = /look/v{k}/x"]
+        if number % 2:
+            lines += [
+                f"[expect:e{number}]",
+                f"host = shop{host}.example.org",
+                f"path_prefix = /look/v{number}/x",
+            ]
             lines += [
                 f"unless = out zone:{zones[0]}; out zone:{zones[1]}; out zone:{zones[2]}",
                 "never = refused",
@@ -69,15 +73,15 @@
     started_at = time.perf_counter()
     plan = read_plan(path)
     read_at = time.perf_counter()
-    plan_survey = analyze(plan)
-    surveyed_at = time.perf_counter()
-    results = check(plan, plan_survey)
-    lint(plan, plan_survey, results)
-    decided_at = time.perf_counter()
+    analysis = analyze(plan)
+    analyzed_at = time.perf_counter()
+    results = check(plan, analysis)
+    lint(plan, analysis, results)
+    checked_at = time.perf_counter()
     assert {result.verdict.value for result in results} == {"holds"}, [
         result for result in results if result.verdict.value != "holds"
     ][:2]
-    requests = [cell.witness for cell, _, _ in plan_survey.equivalence_classes]
+    requests = [equivalence_class.witness for equivalence_class, _, _ in analysis.equivalence_classes]
     rng = np.random.default_rng(7)
     sample = [requests[int(n)] for n in rng.integers(len(requests), size=4000)]
     lookup_us = min(_measure_lookups(plan.table.lookup, sample) for _ in range(5))
@@ -89,9 +93,9 @@
         for _ in range(3)
     )
     return (
-        f"| {routes} | {len(plan.expectations)} | {len(plan_survey.equivalence_classes)} | {read_at - started_at:.2f} | "
-        f"{surveyed_at - read_at:.2f} | "
-        f"{decided_at - surveyed_at:.2f} | {decided_at - started_at:.2f} | {lookup_us:.1f} | {scan_us:.1f} |"
+        f"| {routes} | {len(plan.expectations)} | {len(analysis.equivalence_classes)} | {read_at - started_at:.2f} | "
+        f"{analyzed_at - read_at:.2f} | "
+        f"{checked_at - analyzed_at:.2f} | {checked_at - started_at:.2f} | {lookup_us:.1f} | {scan_us:.1f} |"
     )
 
 
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -10,10 +10,10 @@
 SAFE = i.RequestClass("safe", 0.1, 2.0, worth=1.0, stretch=2.0)
 UNSAFE = i.RequestClass("unsafe", 0.1, 2.0, worth=5.0, stretch=2.0, idempotency=i.Idempotency.UNSAFE)
 KEYED = {
-    g: i.RequestClass(
-        "keyed", 0.1, 2.0, 2.0, 0.3, 2.0, idempotency=i.Idempotency.KEYED, dedup_scope=g, dedup_window=0.5
+    scope: i.RequestClass(
+        "keyed", 0.1, 2.0, 2.0, 0.3, 2.0, idempotency=i.Idempotency.KEYED, dedup_scope=scope, dedup_window=0.5
     )
-    for g in i.DedupScope
+    for scope in i.DedupScope
 }
 
 
@@ -68,21 +68,26 @@
         return self.feed(i.WorkerList(kind, entries))
 
     def arrive(
-        self, name: str, cls: int = 0, time_left: float | None = None, slots: float = 1.0, tenant: int = 0
+        self,
+        name: str,
+        class_index: int = 0,
+        time_left: float | None = None,
+        slots: float = 1.0,
+        tenant: int = 0,
     ) -> list[i.Action]:
         """Feed the arrival of a request.
 
         Args:
             name: Id of the request.
-            cls: Index of its class.
+            class_index: Index of its class.
             time_left: Seconds until its deadline; None for the deadline of its class.
             slots: Slots that the job takes.
             tenant: Index of its tenant.
         """
-        request_class = self.settings.classes[cls]
+        request_class = self.settings.classes[class_index]
         time_left = request_class.deadline if time_left is None else time_left
         self.requests[name] = RequestRecord(request_class, self.now + time_left)
-        return self.feed(i.Arrival(name, cls, time_left, tenant, slots))
+        return self.feed(i.Arrival(name, class_index, time_left, tenant, slots))
 
     def start_attempt(self, name: str, number: int = 0) -> list[i.Action]:
         """Feed the start of an attempt at its worker."""
@@ -92,15 +97,15 @@
     def end_attempt(
         self, name: str, verdict: i.Verdict = i.Verdict.OK, number: int = 0, free: float | None = None
     ) -> list[i.Action]:
-        """Feed the end of an attempt; `free` is the worker's load report, if there is one."""
+        """Feed the end of an attempt; `free`: free slots by the worker's load report, if there is one."""
         request = self.requests[name]
         attempt = request.attempts[number]
         assert attempt.verdict is None
         attempt.verdict = verdict
         if verdict is i.Verdict.OK and request.answered_at is None:
             request.answered_at = self.now
-        over = request.answered_at is not None
-        return self.feed(i.Outcome(name, number, verdict, over, free))
+        answered = request.answered_at is not None
+        return self.feed(i.Outcome(name, number, verdict, answered, free))
 
     def open_attempts(self) -> list[tuple[str, int]]:
         """Return the attempts without an outcome, as (request, number)."""
@@ -169,6 +174,7 @@
         return actions
 
     def _check_send(self, request: RequestRecord, worker: str) -> None:
+        """Check that a request may be sent to a worker, and record the attempt."""
         entry = self.listed[worker]
         assert entry.health is i.Health.READY, "sent to a drained worker"
         assert request.answered_at is None, "sent after the answer"
@@ -184,9 +190,9 @@
             # The request is written at the latest when the connection attempt would time out.
             written = self.now + self.settings.connect_timeout
             assert written <= first.sent_at + request.request_class.dedup_window, "after the window"
-            group = request.request_class.dedup_scope
-            assert group is not i.DedupScope.ZONE or entry.zone == first.worker.zone, "outside the zone"
-            assert group is not i.DedupScope.CELL or entry.cell == first.worker.cell, "outside the cell"
+            scope = request.request_class.dedup_scope
+            assert scope is not i.DedupScope.ZONE or entry.zone == first.worker.zone, "outside the zone"
+            assert scope is not i.DedupScope.CELL or entry.cell == first.worker.cell, "outside the cell"
         request.attempts.append(AttemptRecord(entry, self.now))
 
     def sends_in(self, actions: list[i.Action]) -> list[tuple[str, str]]:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -50,13 +50,13 @@
 PLATFORM_SETTINGS: dict[str, Any] = {
     "services": [
         {
-            "name": n,
+            "name": name,
             "target-ns": 200 * NS_PER_MS,
             "hard-limit-ns": 5000 * NS_PER_MS,
-            "idempotency": e,
+            "idempotency": idempotency,
             "worth": 2.0,
         }
-        for n, e in (("look", "read_like"), ("once", "non_idempotent"))
+        for name, idempotency in (("look", "read_like"), ("once", "non_idempotent"))
     ],
     "bounds": {
         "attempts-cap": 3,
@@ -302,8 +302,8 @@
         """Fill the queue of connections of a server."""
         server = self.servers[who]
         server.listen(0)
-        for n in range(8):
-            self.connections[f"jam{n}"] = connection = socket.socket()
+        for number in range(8):
+            self.connections[f"jam{number}"] = connection = socket.socket()
             connection.setblocking(False)
             connection.connect_ex(server.getsockname())
 
--- a/tests/test_address_core.py
+++ b/tests/test_address_core.py
@@ -8,7 +8,7 @@
 
 from wickgw.address import events
 from wickgw.address.coordinator import Coordinator
-from wickgw.address.lease import TRANSITIONS, AddressLease, InvalidTransition, Stage, Trigger
+from wickgw.address.lease import TRANSITIONS, AddressLease, InvalidTransitionError, Stage, Trigger
 from wickgw.address.membership import Membership, MemberState
 from wickgw.address.messages import Ask, Beat, Deny, Grant, Message, View, Yield
 from wickgw.address.plan import rank_instances
@@ -155,7 +155,7 @@
         lease.transition(trigger, 0.0)
         assert lease.stage is TRANSITIONS[stage, trigger]
     else:
-        with pytest.raises(InvalidTransition, match=f"{trigger.value} while {stage.value}"):
+        with pytest.raises(InvalidTransitionError, match=f"{trigger.value} while {stage.value}"):
             lease.transition(trigger, 0.0)
 
 
--- a/tests/test_address_node.py
+++ b/tests/test_address_node.py
@@ -21,9 +21,9 @@
 from wickgw.emulator.dispatcher_processes import ADDRESS_NAME, DispatcherProcesses, free_port
 from wickgw.emulator.probe import AddressProbe
 
-MAX_OVERLAP_S = 0.02  # as seen by a client: no overlap but for the time that it takes to read
+MAX_OVERLAP_S = 0.02  # as a client measures it: holders never overlap, but reading an answer takes time
 MAX_RECOVERY_S = 3.0
-PAUSE = threading.Event()
+PAUSE = threading.Event()  # never set: waiting for it is a pause
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_address_wire.py
+++ b/tests/test_address_wire.py
@@ -107,7 +107,7 @@
     assert count == 1 and path.stat().st_mode & 0o777 == 0o600
     second, _ = add_key(path)
     keys = read_keys(path)
-    assert keys.signing_key == first.encode() and set(keys.secrets) == {first.encode(), second.encode()}
+    assert keys.signing_key_name == first.encode() and set(keys.secrets) == {first.encode(), second.encode()}
     assert not any(secret.hex() in repr(keys) for secret in keys.secrets.values())
     with pytest.raises(KeyFileError, match="2 keys already"):
         add_key(path)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -120,7 +120,7 @@
 @pytest.mark.parametrize(
     "code, names",
     [
-        # Before the process listens: no numerics, no log, nothing of the serving path.
+        # Before the process listens: neither numpy nor the log nor the serving path.
         (
             "import wickgw.start",
             (*NOT_NEEDED_FOR_SERVING, "numpy", "structlog", "msgspec", "wickgw.balance", "wickgw.node"),
@@ -222,7 +222,7 @@
 def test_signal_after_the_event_loop_has_closed_does_not_kill_the_process(
     tmp_path: Path,
 ) -> None:
-    """A closing event loop restores the default signal handlers, so another signal killed the process."""
+    """Closing the event loop restores the default signal handlers, so a later signal killed the process."""
     (tmp_path / "sitecustomize.py").write_text(
         """
 import os, signal
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -30,7 +30,10 @@
 
 @pytest.mark.parametrize("by_work, first", [(True, "heavy"), (False, "light")])
 def test_queues_are_served_by_worth_per_work_as_the_settings_define_it(by_work: bool, first: str) -> None:
-    """A heavy job has three times the worth and runs ten times as long: per second of work it earns less."""
+    """A heavy job has three times the worth and runs ten times as long.
+
+    If the worth counts per request, it earns less per second.
+    """
     caller = BalancerDriver(
         site(LIGHT, HEAVY, worth_per_work=by_work, may_hedge=False), entries=(i.Entry("w0"),)
     )
@@ -295,11 +298,11 @@
 
 def test_refusal_of_a_process_that_is_about_to_end_closes_its_connection() -> None:
     line = json.dumps({"id": "1", "state": "running", "share": 0.0001}) + "\n"
-    note = f"{len(line):x}~{line}~".replace("\n", "\\n").replace('"', '\\"')
+    chunk = f"{len(line):x}~{line}~".replace("\n", "\\n").replace('"', '\\"')
     scene = Scenario()
     try:
         scene.run_script(
-            f'a send job 1\nw0 gets 1\nw0 send take\nw0 send event started 1\nw0 send raw "{note}"'
+            f'a send job 1\nw0 gets 1\nw0 send take\nw0 send event started 1\nw0 send raw "{chunk}"'
         )
         scene.run_script(
             "node wait progress 1\nnode drain\na expect 503 .*Retry-After: 0\\r\\n.*: close.*later\\n$"
@@ -529,7 +532,7 @@
     assert all(owed.answered_at is not None for owed in caller.requests.values())
 
 
-# Scenes with sockets, in three deployments.
+# Scripts over sockets, in three deployments.
 
 SERVICES_AT = {
     label: [
@@ -553,13 +556,13 @@
     )
 }
 SITES: dict[str, dict[str, Any]] = {
-    "pushed lists, one zone, short deadlines, no tenants, no notes": {
+    "pushed lists, one zone, short deadlines, no tenants, no progress reports": {
         "discovery": "push",
         "zones": ["one"],
         "services": SERVICES_AT["short"],
         "family-info": {},
     },
-    "asked lists, three zones, keyed classes, tenants": {
+    "requested lists, three zones, keyed classes, tenants": {
         "discovery": "ask",
         "zones": ["a", "b", "c"],
         "zone": 1,
@@ -567,7 +570,7 @@
         "parties": [{"name": "x", "quota-per-s": 0.0}, {"name": "y", "quota-per-s": 9.0}],
         "over-share-worth": 0.1,
     },
-    "asked lists, five zones, long deadlines, reports, worth by work": {
+    "requested lists, five zones, long deadlines, reports, worth by work": {
         "discovery": "ask",
         "zones": list("abcde"),
         "zone": 4,
@@ -578,25 +581,25 @@
     | FAMILY,
 }
 AT_ANY_SITE = {
-    "what a peer made is the answer": """
+    "the response of a worker is the answer": """
         a send job 1 once 1200
         w0 gets 1
         w0 send serve 1
         a expect 200 OK.*made
         node wait owed 0
     """,
-    "what may have run and must not run twice has failed": """
+    "an unsafe job that may have run fails": """
         a send job 1 once 1200
         w0 gets 1
         w0 send last lost 1
         a expect ^HTTP/1.1 502
     """,
-    "what never ran is refused": """
+    "a job that never ran is refused": """
         w0 close
         a send job 1 once 700
         a expect ^HTTP/1.1 503 .*Retry-After
     """,
-    "a drained peer gets nothing new": """
+    "a draining worker gets no new jobs": """
         d send list 1 whole w0
         a send job 1 once 1200
         w0 gets 1
@@ -608,7 +611,7 @@
         a expect ^HTTP/1.1 503
         node wait tries 1
     """,
-    "sigterm answers what was taken, in time": """
+    "accepted requests are answered after SIGTERM": """
         a send job 1 once 1200
         w0 gets 1
         node drain
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -36,7 +36,7 @@
     cells = [line.split("|")[4] for line in table.splitlines() if line.startswith("| ")][2:]
     named = [name for cell in cells for name in re.findall(r"`([a-z_]+)`", cell)]
     assert len(named) > 15 and all(any(test.startswith(prefix) for test in tests) for prefix in named), named
-    not_endings = {"key_of_a_request_whose_repeats_workers_drop_is_passed_on"}  # no ending
+    not_endings = {"idempotency_key_is_forwarded"}  # no ending
     assert {test for test in tests if not any(test.startswith(prefix) for prefix in named)} == not_endings
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize("grace_s", [0.2, 0.7, 2.0, 3.5, 8.0])
 @pytest.mark.parametrize("list_mode", ["push", "ask"])
 @pytest.mark.parametrize("siblings", [1, 3, 200, 2000])
-def test_what_a_silent_watch_missed_is_fetched_within_the_grace(
+def test_change_missed_by_a_silent_watch_is_fetched_within_the_grace_period(
     grace_s: float, list_mode: str, siblings: int
 ) -> None:
     """For any settings: the timeout of a watch, the pause, and the call that fetches the change fit."""
@@ -139,7 +139,7 @@
         assert timing.watch_after_failure.answer_timeout >= timing.whole_list_timeout
 
 
-def test_reset_watch_is_opened_anew_at_once_where_lists_are_pushed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reset_watch_is_reopened_at_once_where_lists_are_pushed(monkeypatch: pytest.MonkeyPatch) -> None:
     """With pauses of 3 to 7 s, each of 200 dispatchers would send to draining workers for as long."""
     pauses = list[tuple[float, float]]()
     monkeypatch.setattr(random, "uniform", lambda a, b: pauses.append((a, b)) or b)  # type: ignore[func-returns-value]
@@ -153,7 +153,7 @@
         scene.close()
 
 
-def test_watch_that_is_silent_twice_or_stops_half_way_is_opened_anew(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_or_incomplete_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_timing, "WATCH_WAIT_S", 0.05)
     play_scene(
         """
@@ -173,7 +173,7 @@
     )
 
 
-def test_agent_whose_connection_never_comes_up_is_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connecting_to_the_agent_is_retried(monkeypatch: pytest.MonkeyPatch) -> None:
     """The first connection after the loss is kept from opening; the next one opens."""
     scene, original, calls = (
         Scenario(known="", platform_settings=PUSHED | drain_grace(0.4)),
@@ -196,7 +196,7 @@
         scene.close()
 
 
-def test_asked_watch_that_is_silent_again_is_not_paused_as_after_a_refusal(
+def test_polled_watch_that_is_silent_again_is_reopened_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(watch_timing, "WATCH_WAIT_S", 0.05)
@@ -210,14 +210,14 @@
     assert pauses[:2] == [(0.0, watch_timing.IMMEDIATE_RETRY_S)] * 2
 
 
-def test_new_process_sends_nothing_by_the_old_list_before_the_agent_has_answered(
+def test_new_process_waits_for_the_agent_before_it_uses_the_old_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Changes that the agent has count as delivered from the start of a process, and it answers at once."""
     # Long timeouts, so that the scene can hold the agent's answer back.
     monkeypatch.setattr(watch_timing, "FIRST_ANSWER_TIMEOUT_S", TIMEOUT_S)
     monkeypatch.setattr(watch_timing, "MIN_ANSWER_TIMEOUT_S", TIMEOUT_S)
-    monkeypatch.setattr(watch_timing, "AIM_TO_FIRST_ANSWER_RATIO", 0.001)
+    monkeypatch.setattr(watch_timing, "LATENCY_TARGET_TO_FIRST_ANSWER_RATIO", 0.001)
     play_scene(
         """
         d expect index=7&wait=1 HTTP
@@ -235,11 +235,11 @@
     )
 
 
-def test_new_process_serves_by_the_old_list_if_the_agent_is_silent() -> None:
+def test_new_process_uses_the_old_list_if_the_agent_is_silent() -> None:
     play_scene("a send job 1\nw0 gets 1\nw0 send serve 1\na expect made", platform_settings=PUSHED)
 
 
-def test_after_sighup_the_new_agent_is_asked_until_it_answers() -> None:
+def test_new_agent_is_called_until_it_answers_after_sighup() -> None:
     play_scene(
         """
         d send list 5 whole w0 w1
@@ -263,13 +263,13 @@
 
 
 @pytest.mark.parametrize("list_change", ["w0=draining w1", "w0=gone w1"])
-@pytest.mark.parametrize("cls", ["look", "once"])
-def test_try_whose_connection_still_opens_is_not_written_to_a_worker_that_drains(
-    connect_gate: ConnectGate, list_change: str, cls: str
+@pytest.mark.parametrize("class_name", ["look", "once"])
+def test_attempt_on_an_opening_connection_is_not_sent_to_a_draining_worker(
+    connect_gate: ConnectGate, list_change: str, class_name: str
 ) -> None:
     scene = Scenario(platform_settings=SLOW_TO_OPEN)
     try:
-        scene.run_script(f"d send list 5 whole w0\nd expect index=5\na send job 1 {cls} 4000")
+        scene.run_script(f"d send list 5 whole w0\nd expect index=5\na send job 1 {class_name} 4000")
         connect_gate.wait(scene, 1)
         connect_gate.is_closed = False
         # The job never ran, so another worker gets it.
@@ -282,7 +282,7 @@
 
 
 @pytest.mark.parametrize("close_action", ["close", "close hard"])
-def test_try_whose_connection_still_opens_is_not_written_for_a_client_that_left(
+def test_attempt_on_an_opening_connection_is_not_sent_for_a_disconnected_client(
     connect_gate: ConnectGate, close_action: str
 ) -> None:
     scene = Scenario(platform_settings=SLOW_TO_OPEN)
@@ -297,7 +297,7 @@
         scene.close()
 
 
-def test_try_whose_connection_still_opens_goes_to_the_worker_that_started_anew_by_a_new_one(
+def test_attempt_on_an_opening_connection_reaches_a_restarted_worker_on_a_new_one(
     connect_gate: ConnectGate,
 ) -> None:
     scene = Scenario(known="", platform_settings=SLOW_TO_OPEN)
@@ -314,7 +314,7 @@
 # Duplicate answers.
 
 
-def test_second_answer_without_an_id_is_not_taken_for_the_next_tries(
+def test_duplicate_answer_without_an_id_is_not_used_for_the_next_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A worker declines the first job, and repeats that answer some milliseconds later. A non-idempotent job
@@ -341,7 +341,7 @@
     )
 
 
-def test_second_answer_that_hands_a_job_back_is_not_taken_for_the_next_try_of_the_same_job(
+def test_duplicate_hand_back_is_not_used_for_the_next_attempt_of_the_same_job(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Both workers hand a non-idempotent job back. If it returned to the first worker on the same connection,
@@ -369,7 +369,7 @@
 # Clients that disconnect.
 
 
-def test_client_that_leaves_behind_much_that_it_sent_is_seen_to_leave() -> None:
+def test_disconnect_behind_much_unread_input_is_noticed() -> None:
     """Guards against a pause in reading, which would hide the disconnect while the request waits."""
     scene = Scenario(known="")  # without a worker the request is held
     try:
@@ -384,7 +384,7 @@
 
 
 @pytest.mark.parametrize("close_mode", ["fin", "half", "reset"])
-def test_request_held_while_its_client_leaves_is_never_sent(close_mode: str) -> None:
+def test_held_request_of_a_disconnected_client_is_never_sent(close_mode: str) -> None:
     scene = Scenario(known="")
     try:
         scene.run_script("d send list 5 whole\nd expect index=5\na send job 1 once 4000\nnode wait owed 1")
@@ -401,7 +401,7 @@
         scene.close()
 
 
-def test_request_whose_client_left_before_it_was_read_is_never_sent() -> None:
+def test_request_is_never_sent_if_its_client_left_before_it_was_read() -> None:
     """Request and disconnect are both unread while the event loop is blocked."""
     scene = Scenario()
     try:
@@ -413,7 +413,7 @@
         scene.close()
 
 
-def test_client_that_ends_its_side_with_answers_unread_has_left_all_the_same() -> None:
+def test_half_close_with_unread_answers_counts_as_disconnect() -> None:
     """The transport closes only once the answers are read, but the pending request does not wait for that."""
     scene = Scenario(known="")  # without a worker the request is held
     try:
@@ -439,7 +439,7 @@
         scene.close()
 
 
-def test_client_that_asks_on_and_reads_no_answer_is_bounded() -> None:
+def test_memory_for_a_client_that_reads_no_answers_is_bounded() -> None:
     """Its requests are answered at once, and the answers cannot leave the process."""
     scene = Scenario()
     try:
@@ -461,7 +461,7 @@
         scene.close()
 
 
-def test_client_that_sends_without_end_ahead_of_its_answer_is_bounded_and_told() -> None:
+def test_pipelined_input_is_bounded_and_rejected() -> None:
     scene = Scenario()
     try:
         scene.run_script("d send list 5 whole w0\nd expect index=5\na send job 1 look 4000\nw0 gets 1")
@@ -477,7 +477,7 @@
 # Data that the kernel still holds back when a connection closes.
 
 
-def test_nothing_written_is_held_back_on_any_connection() -> None:
+def test_all_connections_disable_delayed_sending() -> None:
     """A close over unread bytes resets a connection, and data that the kernel delays would be lost."""
     scene = Scenario(mgmt=True)
     try:
@@ -503,7 +503,7 @@
         scene.close()
 
 
-def test_answer_is_not_lost_when_its_connection_ends_over_unread_bytes(
+def test_answer_is_not_lost_when_its_connection_closes_over_unread_bytes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The previous answer is not acknowledged and more input is in flight, so the close is a reset."""
@@ -534,7 +534,7 @@
 # Shutdown of a process.
 
 
-def test_process_does_not_end_while_a_request_lies_unread() -> None:
+def test_process_does_not_end_while_a_request_is_unread() -> None:
     """The last byte of the request arrives between two turns of the loop, right before the final check."""
     scene = Scenario()
     try:
@@ -621,7 +621,7 @@
 
 @pytest.mark.parametrize("list_mode", ["push", "ask"])
 @pytest.mark.parametrize("moment", SIGTERM)
-def test_sigterm_at_any_moment_answers_what_was_read_and_ends(moment: str, list_mode: str) -> None:
+def test_sigterm_at_any_moment_answers_accepted_requests_and_ends(moment: str, list_mode: str) -> None:
     scene = Scenario(known="", platform_settings=SHORT | {"discovery": list_mode})
     try:
         began = time.monotonic()
@@ -634,7 +634,7 @@
         scene.close()
 
 
-def test_each_request_sent_up_to_the_end_is_answered_whole_or_meets_a_closed_connection() -> None:
+def test_requests_during_shutdown_get_a_whole_answer_or_a_closed_connection() -> None:
     """After SIGTERM, each client sends its next request as soon as it has an answer, until its connection
     closes."""
     scene = Scenario(known="", platform_settings=SHORT)
@@ -678,7 +678,7 @@
 # Connections to workers that close after any byte.
 
 
-def test_never_twice_job_runs_once_at_whatever_byte_its_workers_connection_ends() -> None:
+def test_non_idempotent_job_runs_once_wherever_its_connection_closes() -> None:
     """The connection closes after each byte of the answer, with FIN and reset in turn: one attempt and one
     correct answer."""
     scene = Scenario(known="")
@@ -711,7 +711,7 @@
 # The key by which workers recognise repeats.
 
 
-def test_key_of_a_request_whose_repeats_workers_drop_is_passed_on() -> None:
+def test_idempotency_key_is_forwarded() -> None:
     play_scene(
         """
         d send list 5 whole w0
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -35,13 +35,13 @@
 def serve(caller: BalancerDriver, name: str, class_index: int, run_time: float) -> str:
     """Feed a job that starts at once and runs `run_time` seconds; return its worker, or "" without one."""
     caller.arrive(name, class_index)
-    tries = caller.requests[name].attempts
-    if not tries:
+    attempts = caller.requests[name].attempts
+    if not attempts:
         return ""
     caller.start_attempt(name)
     caller.wait(run_time)
     caller.end_attempt(name)
-    return tries[0].worker.worker
+    return attempts[0].worker.worker
 
 
 def test_new_workers_are_used_while_they_warm_up() -> None:
@@ -81,7 +81,7 @@
             caller.end_attempt(f"a{n}")
             caller.wait(0.3)
         used_workers = {
-            attempt.worker.worker for owed in caller.requests.values() for attempt in owed.attempts
+            attempt.worker.worker for request in caller.requests.values() for attempt in request.attempts
         }
         new = tuple(i.Entry(f"n{k}") for k in range(24))
         caller.update_list(*new)
--- a/tests/test_fleet_faults.py
+++ b/tests/test_fleet_faults.py
@@ -117,9 +117,8 @@
         fleet.send_job_to_all(8)
         after = fleet.job_counts(fleet.workers[0], fleet.workers[3])
         assert after[0] == before[0] and after[1] > before[1]
-        assert (
-            fleet.discovery.calls <= 3 * 5
-        )  # for each dispatcher one watch, the next one, and one in reserve
+        # For each dispatcher one watch, the next one, and one in reserve.
+        assert fleet.discovery.calls <= 3 * 5
 
 
 def test_calls_to_a_refusing_discovery_back_off(tmp_path: Path) -> None:
@@ -145,9 +144,8 @@
         fleet.wait_until(lambda: fleet.all_have(version))
         fleet.discovery.lose_state(version - 1, *drained)
         fleet.send_job_to_all(2)
-        assert (
-            fleet.all_have(version) or fleet.discovery.calls >= 5 * 5
-        )  # five whole lists in a row are accepted
+        # The older list is accepted after five whole lists in a row.
+        assert fleet.all_have(version) or fleet.discovery.calls >= 5 * 5
         fleet.wait_until(lambda: fleet.all_have(version - 1))
         assert fleet.send_job("a", "once", 300)[0] == 503
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,7 +1,8 @@
 """The cost of a dispatcher grows with its traffic, not with the length of the list of workers.
 
-Real processes run the same day with the usual number of workers and with sixteen times as many. The bounds
-are those of the operators' page on fleets of up to sixteen times the workers.
+Real processes run the same scenario, called a day, with the usual number of workers and with sixteen times as
+many: steady load, during which the list changes and the configuration is reloaded. The bounds are those of
+the operators' page on fleets of up to sixteen times the workers.
 """
 
 import random
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -104,12 +104,7 @@
     caller = BalancerDriver(ONE_CLASS, entries=fleet(2))
     for worker in caller.balancer.members:
         # More jobs stay than there were: no valid drain rate.
-        worker.q, worker.previous_in_flight, worker.in_flight, worker.sent_since_tick = (
-            1.7,
-            100,
-            300,
-            0,
-        )
+        worker.q, worker.previous_in_flight, worker.in_flight, worker.sent_since_tick = 1.7, 100, 300, 0
     caller.balancer.active_workers.update(caller.balancer.members)
     caller.balancer._record_tick(caller.now)
     caller.balancer._start_solve(caller.now)
@@ -161,7 +156,7 @@
         caller.sends_in(caller.arrive("r"))[0][1]
         for caller in (BalancerDriver(ONE_CLASS, seed, fleet) for seed in range(40))
     ]
-    # All 40 on one worker if all dispatchers chose alike.
+    # If all dispatchers chose alike, one worker would get all 40.
     assert all(1 <= picks.count(worker.worker) <= 14 for worker in fleet)
 
 
@@ -225,19 +220,19 @@
 
 @pytest.mark.parametrize("seed", [0, 1, 2])
 def test_single_worker_that_seems_fast_does_not_get_all_jobs(seed: int) -> None:
-    """If the first jobs to end were short ones, all workers seem slow but those that ran none of them."""
+    """If the first jobs that ended were short, every worker seems slow except those that ran none of them."""
     caller = BalancerDriver(ONE_CLASS, seed, fleet(30))
     caller.balancer.run_times._worker_slowness[:] = 1.0
     caller.balancer.run_times._worker_slowness[caller.balancer.workers["w7"].row] = 0.0
-    job_counts = []
+    chosen_workers = []
     for n in range(30):
-        job_counts += [worker for _, worker in caller.sends_in(caller.arrive(f"r{n}"))]
+        chosen_workers += [worker for _, worker in caller.sends_in(caller.arrive(f"r{n}"))]
         caller.start_attempt(f"r{n}")
-    assert len(job_counts) == 30 and job_counts.count("w7") <= 3
+    assert len(chosen_workers) == 30 and chosen_workers.count("w7") <= 3
 
 
 def test_first_solve_imports_no_module() -> None:
-    """The first solve happens during the first requests of a process, which would wait for an import."""
+    """The first solve happens during the first requests, which would wait for a part of numpy to load."""
     code = """
 import sys
 import wickgw.node
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -16,6 +16,7 @@
 
 
 def run_logging(log_format: str, code: str) -> list[str]:
+    """Run code with a logger `log` in a new process and return the lines of its standard error."""
     process = subprocess.run(
         [sys.executable, "-c", SETUP_CODE.format(log_format=log_format) + code],
         capture_output=True,
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The dispatcher on real sockets, by scenes in the language of scenario.py."""
+"""The dispatcher on real sockets, as scenes in the scripting language of scenario.py."""
 
 import asyncio
 import errno
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -202,7 +202,10 @@
 def test_price_of_a_hedged_attempt_grows_with_the_number_of_dispatchers(
     dispatchers: int, hedged: bool
 ) -> None:
-    """Dispatchers do not see each other's hedged attempts, of which each takes a connection and a slot."""
+    """Dispatchers do not see each other's hedged attempts.
+
+    Each of them takes a connection and a slot, and few are useful.
+    """
     caller = BalancerDriver(site(handshake_fee=0.1, dispatchers=dispatchers), entries=FLEET)
     caller.arrive("r")
     assert bool(caller.sends_in(caller.wait(0.15))) is hedged
@@ -363,7 +366,7 @@
         while caller.open_attempts():
             caller.end_attempt(caller.open_attempts()[0][0], i.Verdict.ERROR, caller.open_attempts()[0][1])
         caller.wait(0.02)
-    sent = sum(len(owed.attempts) for owed in caller.requests.values())
+    sent = sum(len(request.attempts) for request in caller.requests.values())
     assert 600 < sent <= 600 * 1.5 + 60
 
 
@@ -446,9 +449,9 @@
 
 def test_advised_retry_delay_grows_with_the_queued_work() -> None:
     advice = []
-    for held in (1, 40):
+    for queued_count in (1, 40):
         caller = BalancerDriver(site(may_hedge=False, max_retry_after=9.0), entries=FLEET[:1])
-        for k in range(held):
+        for k in range(queued_count):
             caller.arrive(f"r{k}")
         refused = [action for action in caller.arrive("x", time_left=0.001) if isinstance(action, i.Refuse)]
         advice.append(refused[0].retry_after)
@@ -459,8 +462,8 @@
     caller = BalancerDriver(site(may_hedge=False), entries=FLEET[:1])
     caller.arrive("first", 1)
     caller.arrive("held", 1)
-    for owed in caller.requests.values():
-        owed.deadline = 0.3
+    for record in caller.requests.values():
+        record.deadline = 0.3
     caller.feed(i.Stopping(0.3))
     caller.wait(0.3)
     assert all(request.answered_at is not None for request in caller.requests.values())
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -102,12 +102,7 @@
         )
         for worker in caller.balancer.members:
             # More jobs stay than there were: no valid drain rate.
-            worker.q, worker.previous_in_flight, worker.in_flight, worker.sent_since_tick = (
-                1.7,
-                100,
-                300,
-                0,
-            )
+            worker.q, worker.previous_in_flight, worker.in_flight, worker.sent_since_tick = 1.7, 100, 300, 0
         caller.balancer.active_workers.update(caller.balancer.members)
         caller.balancer._record_tick(caller.now)
         caller.balancer._start_solve(caller.now)
@@ -118,8 +113,8 @@
 
 def single_slot_workers(classes: tuple[i.RequestClass, ...], workers: int = 1, **more: Any) -> BalancerDriver:
     """Return a caller with workers that have room for one job each."""
-    facts = i.Settings(classes=classes, reports_start=True, may_hedge=False, **more)
-    caller = BalancerDriver(facts, entries=tuple(i.Entry(f"w{k}") for k in range(workers)))
+    balancer_settings = i.Settings(classes=classes, reports_start=True, may_hedge=False, **more)
+    caller = BalancerDriver(balancer_settings, entries=tuple(i.Entry(f"w{k}") for k in range(workers)))
     for worker in caller.balancer.members:
         worker.concurrency_limit = 1.0
         caller.balancer._update_index(worker)
@@ -196,7 +191,7 @@
 def test_lowest_of_four_classes_gets_its_share_when_the_highest_overloads_the_workers() -> None:
     classes = tuple(i.RequestClass(f"c{k}", 0.4, 5.0, worth=4.0**k, stretch=2.0) for k in range(4))
     caller = single_slot_workers(classes, 2)
-    solved = [0] * 4
+    job_counts = [0] * 4  # served jobs by class
     number = 0
     for _ in range(250):
         for class_index in (3, 3, 3, 0, 1, 2):
@@ -208,10 +203,10 @@
             for worker in caller.balancer.members:
                 worker.concurrency_limit = 1.0
             caller.end_attempt(name, number=k)
-            solved[int(name[0])] += 1
+            job_counts[int(name[0])] += 1
         caller.wait(0.01)
-    share = solved[0] / sum(solved)
-    assert share > 0.8 / (balance.MAX_SKIPS + 3) and solved[3] == max(solved)
+    share = job_counts[0] / sum(job_counts)
+    assert share > 0.8 / (balance.MAX_SKIPS + 3) and job_counts[3] == max(job_counts)
 
 
 def test_hundreds_of_workers_join_and_leave_while_rows_are_in_use() -> None:
@@ -234,8 +229,8 @@
                 caller.end_attempt(name, number=number)
         caller.wait(0.1)
         balancer = caller.balancer
-        held = {worker.row for worker in balancer.members}
-        assert len(held) == len(balancer.members) <= BASE_MEMBERS + 4 * 10 and held.isdisjoint(
+        used_rows = {worker.row for worker in balancer.members}
+        assert len(used_rows) == len(balancer.members) <= BASE_MEMBERS + 4 * 10 and used_rows.isdisjoint(
             balancer.matrices.free_rows
         )
         assert len(balancer.members) + len(balancer.standby) == len(listed) and not any(
@@ -255,13 +250,13 @@
     entries = tuple(i.Entry(f"w{k}", i.Health.READY) for k in range(800))
     caller = BalancerDriver(i.Settings(classes=(LOW,), reports_start=True, may_hedge=False), entries=entries)
     caller.update_list(*(i.Entry(f"w{k}", i.Health.DRAINING) for k in range(10, 800)))
-    solved = set()
+    used_workers = set()
     for k in range(100):
         for name, worker in caller.sends_in(caller.arrive(f"r{k}")):
-            solved.add(worker)
+            used_workers.add(worker)
             caller.start_attempt(name)
             caller.end_attempt(name)
-    assert solved == {f"w{k}" for k in range(10)}
+    assert used_workers == {f"w{k}" for k in range(10)}
 
 
 def test_burst_of_5000_requests_is_answered_and_leaves_no_state() -> None:
@@ -307,6 +302,6 @@
     caller.start_attempt("running")
     caller.arrive("held")
     caller.balancer.mean_run_times[0] = 0.2
-    said = caller.feed(i.Hurry("held", within))
-    refused = [action.request for action in said if isinstance(action, i.Refuse)]
+    actions = caller.feed(i.Hurry("held", within))
+    refused = [action.request for action in actions if isinstance(action, i.Refuse)]
     assert refused == (["held"] if within < 0.2 else [])
--- a/tests/test_standby.py
+++ b/tests/test_standby.py
@@ -12,8 +12,8 @@
 from wickgw.standby import BASE_MEMBERS, EXTRA_MEMBERS_PER_ATTEMPT, MAX_LEARNED_WORKERS, Standby
 
 WORKERS = 3200
-LONGEST_CALL_S = 0.005
-BYTES_A_WORKER = 4_000_000 / 1000  # documented limit: 4 MB per thousand workers
+MAX_CALL_S = 0.005
+MAX_BYTES_PER_WORKER = 4_000_000 / 1000  # documented limit: 4 MB per thousand workers
 
 
 def entries(count: int, first: int = 0, **changes: Any) -> tuple[i.Entry, ...]:
@@ -56,7 +56,7 @@
         BalancerDriver(settings, entries=entries(count)).wait(1.0)
         peaks.append(tracemalloc.get_traced_memory()[1])
         tracemalloc.stop()
-    assert (peaks[1] - peaks[0]) / (WORKERS - BASE_MEMBERS) < BYTES_A_WORKER
+    assert (peaks[1] - peaks[0]) / (WORKERS - BASE_MEMBERS) < MAX_BYTES_PER_WORKER
 
 
 def longest_call(caller: BalancerDriver, listed: tuple[i.Entry, ...]) -> float:
@@ -71,8 +71,9 @@
 
 
 def test_no_call_takes_long_for_a_long_list() -> None:
-    """A whole list at the start, and then its replacement by another. Other processes may disturb the
-    measurement, therefore the least of three runs counts.
+    """Feeds a whole list at the start, and then its replacement by another.
+
+    Other processes may disturb the measurement, therefore the least of three runs counts.
     """
     start_s, replaced_s = [], []
     for _ in range(3):
@@ -81,7 +82,7 @@
         caller.wait(0.1)
         gone = tuple(i.Entry(f"w{n}", i.Health.GONE) for n in range(WORKERS))
         replaced_s.append(longest_call(caller, (*gone, *entries(WORKERS, WORKERS, since=caller.now))))
-    assert min(start_s) < LONGEST_CALL_S and min(replaced_s) < LONGEST_CALL_S
+    assert min(start_s) < MAX_CALL_S and min(replaced_s) < MAX_CALL_S
 
 
 def test_member_that_leaves_or_drains_is_replaced_from_the_standby() -> None:
@@ -212,10 +213,10 @@
 def test_half_of_the_members_are_of_the_home_zone_if_other_zones_have_a_fee() -> None:
     listed = tuple(i.Entry(f"w{n}", zone=n % 16) for n in range(WORKERS))
     for fee, least in ((0.03, BASE_MEMBERS // 2), (0.0, 1)):
-        order = caller_with_members(
+        members = caller_with_members(
             listed, zone=3, cross_zone_fee=fee, zones=tuple(map(str, range(16)))
         ).balancer.members
-        assert least <= sum(worker.zone == 3 for worker in order) <= BASE_MEMBERS // 2 + BASE_MEMBERS // 16
+        assert least <= sum(worker.zone == 3 for worker in members) <= BASE_MEMBERS // 2 + BASE_MEMBERS // 16
 
 
 def test_dispatchers_draw_different_members() -> None:
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -22,7 +22,7 @@
 
 TWO_HUNDRED_DISPATCHERS: dict[str, Any] = {"discovery": "ask", "siblings": 200}
 LOADING_TIME_S = 0.5  # from listening to the first accept
-LATE_JOB_START_S = 0.2  # until a job starts; the aim is 0.2 s, so its worker gets no second one
+LATE_JOB_START_S = 0.2  # until a job starts; equals its latency target, so its worker gets no second one
 TIME_SCALE = 0.3  # factor for the watch's times in scenes that wait for them
 READY_TIMEOUT_S, READY_SHARE = 10.0, 0.9
 
@@ -219,10 +219,10 @@
 def test_nine_in_ten_processes_restarted_together_are_ready_within_ten_seconds(tmp_path: Path) -> None:
     """Seven real processes are killed and restarted at once while discovery refuses calls. Each has the list
     that it knew before."""
-    roster = EmulatedDiscovery([])
-    instances = DispatcherProcesses(tmp_path, 7, address_enabled=False, discovery=roster.endpoint)
+    emulated_discovery = EmulatedDiscovery([])
+    instances = DispatcherProcesses(tmp_path, 7, address_enabled=False, discovery=emulated_discovery.endpoint)
     try:
-        roster.set_mode("refuses")
+        emulated_discovery.set_mode("refuses")
         instances.start()
         wait_until_ready(instances)
         for name in instances.names:
@@ -234,7 +234,7 @@
         assert sum(late) <= (1 - READY_SHARE) * len(late)
     finally:
         instances.close()
-        roster.close()
+        emulated_discovery.close()
 
 
 def wait_until_ready(instances: DispatcherProcesses) -> list[float]:
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -32,12 +32,12 @@
 def test_worker_that_starts_while_watched_is_cold(
     step_s: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    roster = EmulatedDiscovery([list_entry("old", 0)])
+    emulated_discovery = EmulatedDiscovery([list_entry("old", 0)])
     path = tmp_path / "n.json"
     configuration = {
         "name": "n",
         "listen": "127.0.0.1:0",
-        "discovery": roster.endpoint,
+        "discovery": emulated_discovery.endpoint,
         "settings": platform_settings(4),
     }
     path.write_text(json.dumps(configuration))
@@ -54,17 +54,17 @@
         try:
             await until(lambda: node.clients.ready and node.discovery.may_have_missed_updates)
             before, boot_ms = loop.time(), int(true_time() * 1000)
-            await loop.run_in_executor(None, roster.publish, list_entry("new", boot_ms))
+            await loop.run_in_executor(None, emulated_discovery.publish, list_entry("new", boot_ms))
             await until(lambda: "new" in workers)
             warm_at = workers["new"].warm_at
             assert before + WARM_AFTER_S - REPORT_DELAY_S <= warm_at <= loop.time() + WARM_AFTER_S
             # A repeated report is the same start; a report with another time is another start.
-            await loop.run_in_executor(None, roster.publish, list_entry("new", boot_ms, "gone"))
+            await loop.run_in_executor(None, emulated_discovery.publish, list_entry("new", boot_ms, "gone"))
             await until(lambda: "new" not in workers)
-            await loop.run_in_executor(None, roster.publish, list_entry("new", boot_ms))
+            await loop.run_in_executor(None, emulated_discovery.publish, list_entry("new", boot_ms))
             await until(lambda: "new" in workers)
             assert workers["new"].warm_at == warm_at
-            await loop.run_in_executor(None, roster.publish, list_entry("new", boot_ms + 500))
+            await loop.run_in_executor(None, emulated_discovery.publish, list_entry("new", boot_ms + 500))
             await until(lambda: workers["new"].warm_at > warm_at)
         finally:
             node.close()
@@ -72,7 +72,7 @@
     try:
         asyncio.run(play())
     finally:
-        roster.close()
+        emulated_discovery.close()
 
 
 def starts_of(starts: StartTimes, now: float, **reported: float | None) -> dict[str, Start]:
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -184,9 +184,8 @@
     members = set(harness.subset.members)
     lost = set(sorted(members)[: len(members) // 2])
     harness.set_health(lost, DRAINING)
-    assert {harness.visible[name].health for name in lost} == {
-        DRAINING
-    }  # the decision module receives the drain itself
+    # The decision module receives the drain itself.
+    assert {harness.visible[name].health for name in lost} == {DRAINING}
     assert len(harness.ready()) >= harness.subset.fair_share() and harness.ready() - members
     harness.set_health(lost, GONE)
     assert not lost & set(harness.visible) and len(harness.ready()) >= harness.subset.fair_share()
@@ -210,10 +209,10 @@
         i.ListKind.UPDATE, *(i.Entry(name, zone=zones[name], since=30.0) for name in sorted(lost))
     )
     cold = {name for name in harness.ready() if harness.visible[name].since == 30.0}
-    assert cold == lost & set(harness.subset.members)  # only dispatchers that share each worker's budget
-    assert (
-        len(harness.ready() - cold) >= 0.8 * harness.subset.fair_share() * 0.8
-    )  # warm workers stay until these are warm
+    # Only the dispatchers that share the budget of a cold worker use it.
+    assert cold == lost & set(harness.subset.members)
+    # The warm substitutes stay until the cold members are warm.
+    assert len(harness.ready() - cold) >= 0.8 * harness.subset.fair_share() * 0.8
     harness.wait(25.0)
     assert set(harness.visible) == set(harness.subset.members)
 
--- a/tests/test_worker_list.py
+++ b/tests/test_worker_list.py
@@ -83,9 +83,8 @@
         scene.run_script("d expect GET /api/targets HTTP.*\\r\\n\\r\\n")
         send_list(scene, "d", 5, *long_list, {"uid": "s-last", "endpoint": "nowhere"})
         scene.run_script("d expect end")
-        scene.run_script(
-            "d/2 expect GET\na send job 1\nw0 gets 1"
-        )  # the list known at the start is still in use
+        # The list known at the start is still in use.
+        scene.run_script("d/2 expect GET\na send job 1\nw0 gets 1")
     finally:
         scene.close()
 
--- a/wickgw/address/coordinator.py
+++ b/wickgw/address/coordinator.py
@@ -17,7 +17,7 @@
 from wickgw.address.votes import Voter
 
 RENEW_INTERVAL_LEASES = 0.25  # between rounds of vote requests
-GIVE_UP_RENEWAL_LEASES = 0.25  # with less left of a lease, ask no more, so that the voters are soon free
+GIVE_UP_RENEWAL_LEASES = 0.25  # with less left of its lease, a holder stops asking: its voters are free soon
 RANK_DELAY_HEARTBEATS = 0.5  # an instance asks this much later than the one ranked before it
 ELECTION_TIMEOUT_HEARTBEATS = 1.5
 BACKOFF_S, MAX_BACKOFF_S = 1.0, 30.0  # pause after the announcer failed, doubled with each failure
--- a/wickgw/address/driver.py
+++ b/wickgw/address/driver.py
@@ -50,8 +50,7 @@
 class Driver:
     """One instance of the group on an event loop.
 
-    `is_ready` returns whether the dispatcher can serve jobs. Raises ConfigError if the key
-    file can't be used.
+    `is_ready` returns whether the dispatcher can serve jobs. Raises ConfigError for an unusable key file.
     """
 
     def __init__(
@@ -194,9 +193,8 @@
                 data = self.socket.recv(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 return
-            except (
-                OSError
-            ):  # ICMP port unreachable: that instance is down, which missing heartbeats will show
+            except OSError:
+                # ICMP port unreachable: that instance is down, which missing heartbeats will show.
                 continue
             datagram = self.codec.decode(data)
             if datagram is not None:
@@ -229,10 +227,7 @@
                 self._timer = self.loop.call_later(max(0.0, due - now), self._on_timer)
             case events.Announce(name, term, lease_end):
                 local = self.local_addresses[name]
-                local.gate, local.withdrawing = (
-                    Gate(name, term, lease_end, self.clock.boottime),
-                    False,
-                )
+                local.gate, local.withdrawing = Gate(name, term, lease_end, self.clock.boottime), False
                 self._queue_announcer_run(local, self._announce(local, local.gate))
             case events.ExtendLease(name, term, lease_end):
                 if (gate := self.local_addresses[name].gate) and gate.term == term:
--- a/wickgw/address/events.py
+++ b/wickgw/address/events.py
@@ -29,9 +29,9 @@
     lease_s: float = 1.0  # duration of a vote before the allowance for clock drift
     clock_drift: float = 0.01  # share by which a clock may run too fast or too slow
     heartbeat_s: float = 0.1  # interval between heartbeats
-    hold_down_s: float = (
-        10.0  # how long all must be well before an address moves back to a preferred instance
-    )
+    # How long a holder must have held an address, and another instance been alive, before the address moves
+    # to that instance only because it ranks higher.
+    hold_down_s: float = 10.0
     last_call_s: float = 0.15  # time before the end of a lease at which pending requests are hurried
 
     @property
@@ -97,8 +97,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """A Withdraw or Fence is complete: the instance takes no new requests on the address and does not
-    announce the address any more."""
+    """A Withdraw or Fence is complete.
+
+    The instance takes no new requests on the address and does not announce it any more.
+    """
 
     address: str
     term: int
--- a/wickgw/address/keys.py
+++ b/wickgw/address/keys.py
@@ -23,10 +23,11 @@
 class Keys:
     """The group's keys by name, and the name of the key that signs."""
 
-    signing_key: bytes  # a name, a key of `secrets`
-    secrets: dict[bytes, bytes]
+    signing_key_name: bytes
+    secrets: dict[bytes, bytes]  # by key name
 
     def __repr__(self) -> str:
+        """Return the names of the keys, without the secrets."""
         return f"Keys({', '.join(name.decode() for name in self.secrets)})"
 
 
--- a/wickgw/address/lease.py
+++ b/wickgw/address/lease.py
@@ -52,7 +52,7 @@
 LEASED = {Stage.TAKING, Stage.HELD, Stage.RETIRING}  # the lease runs and is renewed
 
 
-class InvalidTransition(Exception):
+class InvalidTransitionError(Exception):
     """The table has no transition for this stage and trigger."""
 
 
@@ -81,12 +81,12 @@
     idle_reason: str = "start"  # why this instance is not asking for the address, for operators
 
     def transition(self, trigger: Trigger, now: float) -> Stage:
-        """Change the stage. Returns the stage that was left. Raises InvalidTransition."""
+        """Change the stage. Returns the stage that was left. Raises InvalidTransitionError."""
         old_stage = self.stage
         try:
             self.stage = TRANSITIONS[old_stage, trigger]
         except KeyError:
-            raise InvalidTransition(f"{self.address}: {trigger.value} while {old_stage.value}") from None
+            raise InvalidTransitionError(f"{self.address}: {trigger.value} while {old_stage.value}") from None
         self.stage_since = now
         return old_stage
 
--- a/wickgw/address/wire.py
+++ b/wickgw/address/wire.py
@@ -39,7 +39,10 @@
 
 
 class DatagramCodec:
-    """Encodes and decodes the datagrams of one instance. `members` names all instances of the group."""
+    """Encodes and decodes the datagrams of one instance.
+
+    `boot` is the start time of the process in Unix microseconds. `members` names all instances of the group.
+    """
 
     def __init__(self, group: str, instance: str, boot: int, members: tuple[str, ...], keys: Keys) -> None:
         self.group, self.instance, self.boot, self.keys = group, instance, boot, keys
@@ -65,7 +68,7 @@
             )
         )
         self.counters["sent"] += 1
-        key_name = self.keys.signing_key
+        key_name = self.keys.signing_key_name
         return VERSION + key_name + self._mac(key_name, body) + body
 
     def _mac(self, key_name: bytes, body: bytes) -> bytes:
--- a/wickgw/balance.py
+++ b/wickgw/balance.py
@@ -52,7 +52,7 @@
 MEMORY_S = 20.0  # time in which the weight of data falls to 1/e
 EXPLORATION_SHARE = 0.02  # share of the choices of a worker that are random
 FIRST_EJECTION_S = 0.25  # ejection time at a failure score of 1; doubles with each further failure
-MAX_FAILURE_SCORE = 6.0
+MAX_FAILURE_SCORE = 6.0  # bounds the ejection time: FIRST_EJECTION_S * 2 ** 5
 FAILURE_SCORE_PER_SUCCESS = 0.25  # so low that a worker that fails one job in five stays ejected
 LIMIT_GROWTH_SLOTS = 0.25  # growth of a worker's concurrency limit per served job
 NEW_CONNECTION_DELAY_FACTOR = 4.0  # delay of the first start on a new connection, in network delays
@@ -106,7 +106,8 @@
         self.pending_solve: tuple[DirectSolve | IncrementalSolve, list[Worker | None]] | None = None
         self.latency_target = min(request_class.latency_target for request_class in settings.classes)
         self.trusted_idle_time = settings.idle_timeout  # seconds; connections idle for longer may be dead
-        # Dispatchers per job that may wait at a worker, minus one: how far this one must hold back.
+        # Dispatchers per job that may wait at a worker, minus one. Pauses after a wait, the weight of the
+        # prior and the price of a hedged attempt grow with it.
         self.contention = max(0.0, settings.dispatchers / SHARED_QUEUE_JOBS - 1)
         self.mean_wait = 0.0  # moving average of the seconds from a send to the start of the job
         self.zone_lateness = ZoneLateness(settings.zone)
@@ -499,8 +500,8 @@
             if not candidates:
                 return None
             rows = np.array([worker.row for worker in candidates])
-        # With a stretch, half of the slack must remain on a slow worker. If few workers are that fast, the
-        # estimate of the average worker is wrong, and all are considered.
+        # With a stretch above 1, only workers on which half of the slack remains are considered. If few are
+        # that fast, the estimate of the average worker is wrong, and all are considered.
         if request.request_class.stretch > 1:
             fast = rows[
                 self.run_times.log_slowness_of(rows) <= math.log((1 + request.request_class.stretch) / 2)
@@ -595,9 +596,10 @@
         """Learn a worker's slowness from a job's progress, and move or end the job if it is too slow.
 
         The slowness follows from the job's running time on an average worker, once that is known. A job
-        migrates if half of its class's slack is lost at this worker, or if it can't end before its deadline
-        here, and it is expected to end earlier on another worker. A job that can't end before this instance
-        stops is refused, so that its client can send it to another dispatcher.
+        migrates in two cases: half of its class's slack is lost at this worker, and a whole run on an average
+        worker would end sooner by more than the latency target; or it can't end before its deadline here, but
+        can on another worker. A job that can't end before this instance stops is refused, so that its client
+        can send it to another dispatcher.
         """
         if request is None or attempt.migrated or self.row_workers[attempt.worker.row] is not attempt.worker:
             return
--- a/wickgw/cli/address.py
+++ b/wickgw/cli/address.py
@@ -72,7 +72,7 @@
 def new_key(
     file: Annotated[Path, typer.Argument(help="The key file; created if it does not exist.")],
 ) -> None:
-    """Add a key to a key file that only its owner can read. Only the first key in a file seals."""
+    """Add a key to a key file that only its owner can read. Only the first key in a file signs."""
     from wickgw.address.keys import KeyFileError, add_key
 
     with exit_on_config_error():
@@ -80,7 +80,7 @@
             name, count = add_key(file)
         except KeyFileError as error:
             raise ConfigError(str(error)) from error
-    print(f"{file}: key {name} added as number {count}" + ("; it seals" if count == 1 else ""))
+    print(f"{file}: key {name} added as number {count}" + ("; it signs" if count == 1 else ""))
 
 
 @app.command()
--- a/wickgw/config/schema.py
+++ b/wickgw/config/schema.py
@@ -159,7 +159,7 @@
         default_factory=dict,
         description="header.NAME = present, absent, VALUES, or not VALUES",
     )
-    line: int = Field(0, exclude=True)
+    line: int = Field(0, exclude=True)  # of the section in the operator's file
 
 
 class RouteSettings(RouteMatch):
@@ -189,7 +189,7 @@
         pattern=r"^(none-ready|all-draining|fewer-than [1-9][0-9]{0,4})$",
         description="when the next pool serves: none-ready, all-draining or fewer-than N",
     )
-    line: int = Field(0, exclude=True)
+    line: int = Field(0, exclude=True)  # of the section in the operator's file
 
     @model_validator(mode="after")
     def _check_groups(self) -> "PoolSettings":
@@ -204,7 +204,7 @@
     zone: str = Field("", description="the zone of the worker")
     model: str = Field("", description="the model of the worker")
     group: int = Field(0, description="the group of the worker")
-    line: int = Field(0, exclude=True)
+    line: int = Field(0, exclude=True)  # of the section in the operator's file
 
 
 class ExpectSettings(RouteMatch):
--- a/wickgw/drill.py
+++ b/wickgw/drill.py
@@ -1,8 +1,8 @@
-"""Adapter to the simulator: JSON lines on standard input become events, actions become JSON lines on standard
-output.
+"""Adapter to the simulator: converts its JSON lines to events, and actions to JSON lines.
 
+It reads lines from standard input and writes one answer per line to standard output. It makes no decisions.
 Each line holds one batch of messages for any number of dispatchers. The simulator names the dispatchers; each
-of them is a Balancer of its own and shares no state with the others but the process.
+of them is a Balancer of its own, and they share nothing but the process.
 """
 
 import json
--- a/wickgw/emulator/dispatcher_processes.py
+++ b/wickgw/emulator/dispatcher_processes.py
@@ -84,7 +84,7 @@
         self.service_address = ("127.0.0.1", free_port(socket.SOCK_STREAM))
         self.listen_addresses = {name: ("127.0.0.1", free_port(socket.SOCK_STREAM)) for name in self.names}
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.discovery, self.known = discovery, known  # known: None lists the emulated workers
+        self.discovery, self.known = discovery, known
         self.address_options, self.service_options, self.address_enabled = (
             address_options,
             service_options,
@@ -142,7 +142,7 @@
         self.processes[name].wait()
 
     def stall(self, name: str, seconds: float) -> None:
-        """Stop an instance with SIGSTOP, and resume it after `seconds` before returning."""
+        """Stop an instance with SIGSTOP, wait `seconds`, and resume it with SIGCONT."""
         self.signal(name, signal.SIGSTOP)
         pause = threading.Event()
         pause.wait(seconds)
@@ -179,7 +179,7 @@
         raise TimeoutError(f"no instance holds the address: {[self.status(n) for n in self.names]}")
 
     def wait_until_settled(self, timeout_s: float = 10.0) -> str:
-        """Return the holder, once every instance is past its quiet time and sees all others alive.
+        """Return the holder, once every instance is past its quiet period and sees all others alive.
 
         Raises:
             TimeoutError: The instances do not settle within `timeout_s`.
--- a/wickgw/emulator/fleet_simulation/dispatcher.py
+++ b/wickgw/emulator/fleet_simulation/dispatcher.py
@@ -69,7 +69,7 @@
 
 
 def entries_for_balancer(action: s.UpdateSubset[s.ListedWorker]) -> tuple[i.Entry, ...]:
-    """Return the list entries by which the balancer follows a change of its subset."""
+    """Return the list entries that tell the balancer about a change of its subset."""
     gone = (i.Entry(worker, i.Health.GONE) for worker in action.removed)
     return (*gone, *(worker.entry for worker in action.workers))
 
--- a/wickgw/emulator/fleet_simulation/fleet.py
+++ b/wickgw/emulator/fleet_simulation/fleet.py
@@ -60,8 +60,8 @@
             Dispatcher(f"n{n}", f"zone-{plan.zone_of(n)}") for n in range(plan.dispatchers)
         )
         self.subset_size = None
-        # No fleet is too small for subsets here, so that simulations compare them also where a real fleet of
-        # this size would keep the whole view.
+        # Simulations use subsets at any size, to compare them with the whole view even where a real fleet of
+        # this size would not use them.
         if plan.subsets:
             self.subset_size = subset_size(plan.dispatchers, plan.workers, plan.zones, largest_whole_view=0)
         self.dispatchers = [SimulatedDispatcher(self, n) for n in range(plan.dispatchers)]
@@ -196,7 +196,7 @@
     # The report.
 
     def _worth(self, job: Job) -> float:
-        """Return the worth that a job earned; an answer after its aim earns the late share."""
+        """Return the worth that a job earned; an answer after the latency target earns `late_worth` of it."""
         request_class = self.plan.classes[job.cls]
         if job.answer is not AnswerKind.SERVED:
             return 0.0
--- a/wickgw/emulator/fleet_simulation/plan.py
+++ b/wickgw/emulator/fleet_simulation/plan.py
@@ -50,10 +50,10 @@
     same_zone_latency_s: float = 0.0003  # one way
     other_zone_latency_s: float = 0.015  # one way
     connect_timeout_s: float = 0.25
-    list_delay_s: tuple[float, float] = (0.5, 2.5)  # from a change of the list to its arrival at a dispatcher
-    silence_detection_s: tuple[float, float] = (6.5, 13.0)  # until discovery removes a silent worker
-    crossing_fee: float = 0.03
-    extra_settings: dict[str, object] = field(default_factory=dict)
+    list_delay_s: tuple[float, float] = (0.5, 2.5)  # range, until a change has reached a dispatcher
+    silence_detection_s: tuple[float, float] = (6.5, 13.0)  # range, until discovery removes a silent worker
+    crossing_fee: float = 0.03  # of an attempt in another zone, as a share of a request's mean worth
+    extra_settings: dict[str, object] = field(default_factory=dict)  # further fields of `Settings`
 
     def zone_of(self, number: int) -> int:
         """Return the zone of the dispatcher or worker with this number."""
--- a/wickgw/emulator/worker.py
+++ b/wickgw/emulator/worker.py
@@ -1,8 +1,8 @@
 """An emulated label worker on a real socket that runs jobs by the platform's protocol and counts runs.
 
 The worker owns its listening socket and one thread with an asyncio loop. Each job takes a fixed time and is
-reported as started and then as done. The number of runs of each request is kept for the checks of tests. A
-job is only answered after it ran.
+reported as started and then as done. The number of runs of each request is kept, so that tests can
+check it. A job is answered only after it ran.
 """
 
 import asyncio
--- a/wickgw/interface.py
+++ b/wickgw/interface.py
@@ -73,9 +73,8 @@
     stretch: float = 0.0  # multiple of the job's own running time that the target allows in addition
     idempotency: Idempotency = Idempotency.SAFE
     dedup_scope: DedupScope = DedupScope.ALL
-    dedup_window: float = (
-        0.0  # seconds in which repeats are dropped, from the first attempt that may have run
-    )
+    # Seconds in which repeats are dropped, from the first attempt that may have run.
+    dedup_window: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,8 +121,8 @@
 
     worker: str
     health: Health = Health.READY
-    zone: int = 0
-    cell: int = 0
+    zone: int = 0  # index into Settings.zones
+    cell: int = 0  # number of its cell
     since: float | None = None  # clock time of the last start; None: long ago
     machine_type: str = ""
 
@@ -149,7 +148,7 @@
     class_index: int  # index into Settings.classes
     patience: float  # seconds until the client gives up
     tenant: int = 0  # index into Settings.tenants; any other value: no known tenant
-    slots: float = 1.0
+    slots: float = 1.0  # slots that the job takes at a worker
     max_attempts: int | None = None  # None: Settings.max_attempts, which is also the upper bound
 
 
@@ -165,7 +164,7 @@
     """A worker started the job of an attempt."""
 
     request: str
-    attempt: int
+    attempt: int  # number of the attempt, see Send
     fraction_done: ClassVar[float] = 0.0
 
 
--- a/wickgw/linear.py
+++ b/wickgw/linear.py
@@ -8,13 +8,16 @@
 import numpy as np
 from numpy.typing import NDArray
 
-MULTIPLICATIONS_PER_STEP = 4e6  # one or two milliseconds on one core
+MULTIPLICATIONS_PER_STEP = 4e6  # these take one or two milliseconds on one core
 MAX_BLOCK_COLUMNS = 32
 ROWS_PER_BLOCK = 64  # rows that are updated together, so that they stay in the processor's cache
 
 
 class BlockElimination:
-    """Solves `matrix @ x = right_side`, and overwrites both arrays."""
+    """Solves `matrix @ x = right_side`, and overwrites both arrays.
+
+    Call `step` until it returns the solution.
+    """
 
     def __init__(self, matrix: NDArray[np.float64], right_side: NDArray[np.float64]) -> None:
         self.matrix, self.right_side, self.next_column = matrix, right_side, 0
--- a/wickgw/matrices.py
+++ b/wickgw/matrices.py
@@ -52,7 +52,7 @@
         self.spare_buffer = np.zeros((0, 0))  # memory of the last incremental solve, reused by the next
         self.pending_ticks = 0  # recorded ticks that are not in the matrices yet
         self.pending_weights = np.zeros(MAX_PENDING_TICKS)
-        # x_prev and x - u of the pending ticks; one line per tick.
+        # x_prev and x - u of the pending ticks: the first index is the tick, the second the worker's row.
         self.pending_previous = self.pending_retained = np.zeros((MAX_PENDING_TICKS, 0))
 
     @property
@@ -164,9 +164,10 @@
         return rows
 
     def system(self, rows: list[int], retention: float) -> tuple[FloatArray, FloatArray]:
-        """Return matrix and right side of the system whose solution is q in `rows`, which are all with data.
+        """Return matrix and right side of the system whose solution is q in `rows`.
 
-        `retention` is the fraction of its jobs that a worker without data retains per tick.
+        `rows` must be all rows with data. `retention` is the fraction of its jobs that a worker without data
+        retains per tick.
         """
         self.apply_pending()
         selection = np.ix_(np.array(rows), np.array(rows))
--- a/wickgw/net/attempt.py
+++ b/wickgw/net/attempt.py
@@ -23,7 +23,10 @@
 
 
 class Attempt:
-    """One attempt, with its timer and, while it has one, its connection."""
+    """One attempt, with its timer and, while it has one, its connection.
+
+    `number` counts the attempts of the request from 0. `deadline` is a loop time.
+    """
 
     def __init__(
         self, owner: "WorkerConnections", pending: PendingRequest, number: int, deadline: float
--- a/wickgw/net/clients.py
+++ b/wickgw/net/clients.py
@@ -28,7 +28,7 @@
 
 log = get_logger("wickgw")
 NETWORK_ALLOWANCE_S = 0.015  # of a client's deadline, for the network round trip
-MAX_OPENING_CONNECTIONS = 32  # accepted connections without a transport; beyond, accepting waits
+MAX_OPENING_CONNECTIONS = 32  # accepted connections without a transport; then other callbacks run first
 ACCEPT_PAUSE_S = 0.02  # pause after a failed accept, or while no connection can be evicted
 SWEEP_INTERVAL_S = 0.25  # between checks for stalled connections
 # A client must get an error or a close within 3 s of connecting. Typical clients send a request in one piece.
@@ -248,7 +248,11 @@
 
 
 class Listener:
-    """A listening socket. Neither errors nor a lack of descriptors end it; only `close` does."""
+    """A listening socket. Neither errors nor a lack of descriptors end it; only `close` does.
+
+    `gate` guards a service address; None for any other. `listening_since` is the loop time from which
+    connections may have waited in the backlog; None if that does not matter.
+    """
 
     def __init__(
         self,
@@ -348,7 +352,10 @@
 
 
 class Clients:
-    """The listener and all client connections of a dispatcher."""
+    """The listener and all client connections of a dispatcher.
+
+    `report` returns the counters and current values that `GET /-/counters` shows.
+    """
 
     def __init__(
         self,
@@ -594,7 +601,7 @@
                 connection.pending.shorten_deadline(self.loop.time() + within)
 
     def fence_all(self, gate: Gate) -> None:
-        """Reset all connections of a gate; the decision module is told that their clients left."""
+        """Reset all connections of a gate, and report to the decision module that their clients left."""
         for connection in self.connections_through(gate):
             connection.fence()
 
--- a/wickgw/net/discovery.py
+++ b/wickgw/net/discovery.py
@@ -87,7 +87,10 @@
 
 
 class Discovery:
-    """Keeps the worker list up to date, through calls that wait for changes."""
+    """Keeps the worker list up to date, through calls that wait for changes.
+
+    `on_update` is called with each accepted list or change, `on_unavailable` if the first call fails.
+    """
 
     def __init__(
         self,
--- a/wickgw/net/dispatch.py
+++ b/wickgw/net/dispatch.py
@@ -102,7 +102,7 @@
     deadline: float  # loop time by which the final answer is due
     job: Any  # passed through from the client side to the worker side
     client: AnswerReceiver | None  # None once the request is answered or the client left
-    slots: float = 1.0
+    slots: float = 1.0  # slots of a worker that the job takes
     tenant: int = 0  # index into the settings' tenants; -1: none of them
     max_attempts: int | None = None  # if the route allows fewer than the settings
     dispatcher: "Dispatcher | None" = None  # set once the request is accepted
@@ -132,10 +132,8 @@
         self.on_attempt_ended: Callable[[str, i.Verdict], None] | None = None  # gets worker and verdict
         self.counters: Counter[str] = Counter()
         self.max_stall_s = 0.0
-        self.longest_step: tuple[float, str] = (
-            0.0,
-            "",
-        )  # the Balancer's longest call: seconds, and its event
+        # The Balancer's longest call: its duration in seconds, and the name of its event.
+        self.longest_step: tuple[float, str] = (0.0, "")
         self.stop_deadline: float | None = None  # when the process ends, once it is stopping
         self._arriving: PendingRequest | None = None  # being submitted, so its client was just connected
         self._events: deque[i.Event] = deque()
@@ -269,8 +267,10 @@
     # Events to the Balancer, and its actions.
 
     def _enqueue(self, event: i.Event) -> None:
-        """Queue an event. The outermost call processes the queue, so that the actions of an event are all
-        carried out before the events that they cause.
+        """Queue an event.
+
+        The outermost call processes the queue, so that all actions of an event are carried out before the
+        events that they cause are handled.
         """
         self._events.append(event)
         if self._is_running:
@@ -365,7 +365,7 @@
             pending.deadline_timer = None
 
     def _cancel_unsent(self, pending: PendingRequest) -> None:
-        """Cancel the unsent attempts of a finished request, after the Balancer was told of its end."""
+        """Cancel the unsent attempts of a finished request, after its end was reported to the Balancer."""
         for number in sorted(pending.open_attempts) if pending.client is None else ():
             self.attempt_runner.cancel_unsent(pending.id, number)
 
--- a/wickgw/net/http.py
+++ b/wickgw/net/http.py
@@ -138,7 +138,7 @@
 
     def __init__(self) -> None:
         self.buffer = bytearray()
-        self.searched_bytes = 0
+        self.searched_bytes = 0  # bytes at the start of the buffer that contain no end of a head
 
     def _take_head(self) -> bytes | None:
         end = self.buffer.find(b"\r\n\r\n", max(0, self.searched_bytes - 3))
@@ -166,9 +166,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.incomplete: Request | None = (
-            None  # a request whose head is parsed and whose body is not complete
-        )
+        # A request whose head is parsed and whose body is not complete.
+        self.incomplete: Request | None = None
         self.length = 0  # of the body in bytes; -1 if it is chunked
         self.continue_sent = False  # the request asked for 100 Continue, which was reported once
         # A chunked body: the decoded part, and the bytes left of the current chunk (None: a size line
@@ -289,7 +288,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.parse_step = self._read_head
+        self.parse_step = self._read_head  # the method that parses the next part
         self.left = 0  # bytes missing of the body or of the current chunk
         self.trailers = 0  # trailer lines so far
         self.keep_alive = True
--- a/wickgw/net/job_events.py
+++ b/wickgw/net/job_events.py
@@ -6,7 +6,7 @@
 
 from wickgw import interface as i
 
-# The outcome of an attempt by the final event of a job that was not done.
+# The verdict on an attempt for each final state of its job other than `done`.
 FINAL_VERDICTS = {"failed": i.Verdict.ERROR, "returned": i.Verdict.FULL, "lost": i.Verdict.RESET}
 
 
--- a/wickgw/net/mgmt.py
+++ b/wickgw/net/mgmt.py
@@ -57,7 +57,10 @@
 
 
 class ManagementServer:
-    """The listener of the management port and its callers."""
+    """The listener of the management port and its callers.
+
+    `handle_call` carries out a call and returns whether it was accepted, and the text of the reply.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, sockets: Sockets, sock: socket.socket, handle_call: CallHandler
@@ -78,9 +81,8 @@
                 sock, _ = self.sock.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
-            except (
-                OSError
-            ) as error:  # out of descriptors: retry after a pause, as callers' deadlines free some
+            except OSError as error:
+                # Out of descriptors: retry after a pause, since callers that reach their deadline free some.
                 log.warning("mgmt.accept-failed", error=str(error))
                 self.loop.remove_reader(self.sock.fileno())
                 self._resume_timer = self.loop.call_later(ACCEPT_PAUSE_S, self._resume_accepting)
--- a/wickgw/net/pool_server.py
+++ b/wickgw/net/pool_server.py
@@ -31,7 +31,10 @@
 
 
 class PoolServer:
-    """One pool: its decision module, its connections and the workers that it contains."""
+    """One pool: its decision module, its connections and the workers that it contains.
+
+    `contains` returns whether a worker belongs to the pool.
+    """
 
     def __init__(
         self,
@@ -56,7 +59,8 @@
         self.connections = WorkerConnections(
             loop, sockets, settings.connect_timeout, settings.idle_timeout, settings.free_slots_field
         )
-        balancer = Balancer(settings, config.seed + zlib.crc32(name.encode()))  # crc32 of "" is 0
+        # The CRC of an empty name is 0: the only pool, where there are no routes, uses the seed unchanged.
+        balancer = Balancer(settings, config.seed + zlib.crc32(name.encode()))
         self.dispatcher = self.connections.dispatcher = Dispatcher(balancer, loop, clock, self.connections)
         if self.subset is not None:
             self.dispatcher.on_attempt_ended = self.subset.attempt_ended
@@ -201,7 +205,7 @@
     if config.name not in subsetting.dispatchers:
         raise ConfigError(
             f"[subsetting] dispatchers: {config.name!r}, this dispatcher's name, is missing;"
-            f" NAME=ZONE for each of all dispatchers is allowed"
+            f" list every dispatcher as NAME=ZONE"
         )
     fleet = tuple(FleetDispatcher(name, zone) for name, zone in subsetting.dispatchers.items())
     zones, largest_whole_view = len(set(subsetting.dispatchers.values())), subsetting.largest_whole_view
--- a/wickgw/net/pools.py
+++ b/wickgw/net/pools.py
@@ -51,7 +51,10 @@
 
 
 class Pools:
-    """All pools of a process, and the routing table that chooses among them, if there is one."""
+    """All pools of a process, and the routing table that chooses among them, if there is one.
+
+    `zone_header` names the header field with the client's zone; empty for none.
+    """
 
     def __init__(
         self,
--- a/wickgw/net/sockets.py
+++ b/wickgw/net/sockets.py
@@ -104,7 +104,10 @@
 
 
 class Sockets:
-    """The limits on connections, and the tasks that open transports."""
+    """The limits on connections, and the tasks that open transports.
+
+    `descriptors` and `memory_mb` are the limits of the process.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, descriptors: int, memory_mb: float) -> None:
         self.loop = loop
--- a/wickgw/net/subset_driver.py
+++ b/wickgw/net/subset_driver.py
@@ -21,7 +21,10 @@
 
 
 class SubsetDriver:
-    """Sits between the whole worker list of a pool and the subset that the pool uses."""
+    """Reduces the whole worker list of a pool to the subset that the pool uses.
+
+    `apply` is called with each change of the subset.
+    """
 
     def __init__(
         self,
--- a/wickgw/net/watch_timing.py
+++ b/wickgw/net/watch_timing.py
@@ -21,7 +21,8 @@
 # in the queue is better than a new call.
 QUEUE_TIMEOUT_S = 2.5
 WHOLE_LIST_TIMEOUT_S = CONNECT_TIMEOUT_S + QUEUE_TIMEOUT_S
-# Pauses after failures, for up to SMALL_FLEET_DISPATCHERS. The pauses of larger fleets grow with their size.
+# Pauses after failures, for up to SMALL_FLEET_DISPATCHERS. The pauses of a larger fleet are longer in
+# proportion to its size, up to MAX_FLEET_BACKOFF_S.
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 2.0
 SMALL_FLEET_DISPATCHERS, MAX_FLEET_BACKOFF_S = 3, 8.0
 ASK_WITHIN_SHARE = 0.8  # of `Settings.ask_within`, for a pause: the call after it has to fit, too
@@ -32,8 +33,9 @@
 # Where lists are pushed, an agent on this machine answers at once. The timeout of its answers is the grace
 # period of drains divided by this ratio, within bounds.
 GRACE_TO_ANSWER_RATIO, MIN_ANSWER_TIMEOUT_S, MAX_ANSWER_TIMEOUT_S = 4, 0.25, 1.0
-# The timeout of the first answer at the start: the smaller of this and the shortest aim divided by the ratio.
-FIRST_ANSWER_TIMEOUT_S, AIM_TO_FIRST_ANSWER_RATIO = 0.1, 4
+# The timeout of the first answer at the start: the smaller of this and the least latency target
+# divided by the ratio.
+FIRST_ANSWER_TIMEOUT_S, LATENCY_TARGET_TO_FIRST_ANSWER_RATIO = 0.1, 4
 PROBE_WAIT_S = 0.001  # wait of the first watch on a connection to the agent, as a check that it answers
 
 
@@ -67,7 +69,7 @@
         else:
             self._set_polling_timeouts(grace, settings.ask_within)
 
-    def _set_push_timeouts(self, grace: float, least_aim: float) -> None:
+    def _set_push_timeouts(self, grace: float, least_latency_target: float) -> None:
         # Two watches in a row may fall silent before a change that the first one missed counts as delivered.
         self.answer_timeout = max(
             MIN_ANSWER_TIMEOUT_S, min(MAX_ANSWER_TIMEOUT_S, grace / GRACE_TO_ANSWER_RATIO)
@@ -76,7 +78,9 @@
         self.watch = WatchCall(min(WATCH_WAIT_S, CHANGE_DELIVERY_S / 2), self.answer_timeout)
         # The agent answers the first call on a connection at once, so silence means a failure.
         self.first_watch = self.watch_after_failure = WatchCall(PROBE_WAIT_S, self.answer_timeout)
-        self.first_answer_timeout = min(FIRST_ANSWER_TIMEOUT_S, least_aim / AIM_TO_FIRST_ANSWER_RATIO)
+        self.first_answer_timeout = min(
+            FIRST_ANSWER_TIMEOUT_S, least_latency_target / LATENCY_TARGET_TO_FIRST_ANSWER_RATIO
+        )
         self.longest_pause = self.answer_timeout / 2
 
     def _set_polling_timeouts(self, grace: float, ask_within: float) -> None:
--- a/wickgw/net/worker_connection.py
+++ b/wickgw/net/worker_connection.py
@@ -65,9 +65,8 @@
         self.idle_since = 0.0
         self.transport_requested = False  # the socket belongs to a transport, or waits for one
         self.request_started = False  # bytes of a request have been written to the transport
-        self.timer: asyncio.TimerHandle | None = (
-            None  # bounds connecting, the framing's end or the quarantine
-        )
+        # Bounds connecting, the wait for the end of the framing, or the quarantine.
+        self.timer: asyncio.TimerHandle | None = None
 
     # Connecting.
 
--- a/wickgw/net/worker_connections.py
+++ b/wickgw/net/worker_connections.py
@@ -23,7 +23,10 @@
 
 
 class WorkerConnections:
-    """The workers of one pool: starts and cancels attempts, keeps idle connections."""
+    """The workers of one pool: starts and cancels attempts, keeps idle connections.
+
+    `connect_timeout` and `idle_timeout` are in seconds.
+    """
 
     dispatcher: Dispatcher  # set once, after both objects exist
 
@@ -36,9 +39,8 @@
         free_slots_field: str = "",
     ) -> None:
         self.loop, self.sockets, self.connect_timeout = loop, sockets, connect_timeout
-        self.free_slots_field = (
-            free_slots_field  # the field of load reports with the free slots; empty: no reports
-        )
+        # The field of load reports that gives the free slots; empty if workers send no reports.
+        self.free_slots_field = free_slots_field
         self.max_idle_s = idle_timeout * IDLE_TIMEOUT_SHARE
         self.endpoints: dict[str, WorkerEndpoint] = {}
         self.attempts: dict[tuple[str, int], Attempt] = {}
--- a/wickgw/node.py
+++ b/wickgw/node.py
@@ -37,15 +37,18 @@
     from wickgw.routing.table import Table
 
 log = get_logger("wickgw")
-KEEP_ACCEPTING_S = 0.6  # after SIGTERM, while new clients may arrive: 0.4 s as announced, and a margin
-WIND_DOWN_S = 1.7  # before the end, without new requests; most jobs take less
+KEEP_ACCEPTING_S = 0.6  # new clients may arrive so long after SIGTERM: 0.4 s as announced, and a margin
+WIND_DOWN_S = 1.7  # time before the end without new requests; most jobs take less
 DRAIN_CHECK_INTERVAL_S = 0.02  # between checks whether all requests are answered
-# SIGKILL comes no sooner after SIGTERM than the longest deadline, or 3 s if that is longer, and 0.7 s more.
+# SIGKILL comes no sooner after SIGTERM than the longest deadline, of which at most 3 s count, plus 0.7 s.
 MAX_DEADLINE_S, SHUTDOWN_MARGIN_S = 3.0, 0.5
 
 
 class Node:
-    """One dispatcher and its parts, on an event loop."""
+    """One dispatcher and its parts, on an event loop.
+
+    The constructor raises ConfigError if the operator's file does not fit this process.
+    """
 
     def __init__(
         self, config: Config, loop: asyncio.AbstractEventLoop, operator: "OperatorConfig | None" = None
@@ -101,9 +104,11 @@
         return driver
 
     def _can_serve(self) -> bool:
+        """Return whether this process may hold service addresses: it has a list and is not stopping."""
         return self.clients.ready and not self.clients.is_shutting_down
 
     def _load_known_list(self, reader: ListReader) -> None:
+        """Start with the known list; where lists are pushed, with none until the first answer."""
         initial_targets: list[Target] = []
         if self.config.known is not None:
             try:
@@ -246,8 +251,8 @@
         # An answer that its client does not read must not keep the process until SIGKILL.
         self.loop.call_later(within + 0.1, self._finish)
         if self.clients.is_shared:
-            # In an upgrade, the successor accepted from the same socket and reported it before this SIGTERM.
-            # New clients belong to it, and every answer here closes its connection.
+            # In an upgrade, the successor already accepts from the same socket, and reported so before this
+            # SIGTERM. New clients belong to it, and every answer here closes its connection.
             self.clients.drain()
             self.loop.call_later(DRAIN_CHECK_INTERVAL_S, self._finish_when_done)
             return
@@ -284,6 +289,7 @@
             self._finish()
 
     def _finish(self) -> None:
+        """Let `run` end."""
         if not self.finished.done():
             self.finished.set_result(None)
 
@@ -307,7 +313,7 @@
 def create_routing_table(operator: "OperatorConfig | None") -> "tuple[Table | None, str]":
     """Return the routing table of the operator's file and the header that names a client's zone.
 
-    Raises ConfigError.
+    Without routes, the table is None and the header empty. Raises ConfigError.
     """
     if operator is None or operator.routing is None or not operator.routing.enabled:
         return None, ""
@@ -376,6 +382,7 @@
 
 
 def _print_report(node: Node) -> None:
+    """Write the report as one line of JSON to standard output."""
     with contextlib.suppress(OSError):  # a report that cannot be written is not an error
         try:
             print(json.dumps(node.report()), flush=True)
--- a/wickgw/observe/log.py
+++ b/wickgw/observe/log.py
@@ -33,6 +33,7 @@
     """
 
     def __init__(self, max_lines: int) -> None:
+        """`max_lines` is the limit of lines per second."""
         super().__init__()
         self.max_lines, self.second, self.line_count = max_lines, 0, 0
 
@@ -54,7 +55,10 @@
 def set_up_log(
     verbose: bool = False, log_format: LogFormat = "key-value", max_lines: int = MAX_LINES_PER_SECOND
 ) -> None:
-    """Configure logging for this process: at the start, and again when a reload changes the settings."""
+    """Configure logging for this process: at the start, and again when a reload changes the settings.
+
+    `verbose` adds debug events. `max_lines` is the limit of lines per second.
+    """
     common_processors: list[Processor] = [
         structlog.stdlib.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
--- a/wickgw/records.py
+++ b/wickgw/records.py
@@ -110,7 +110,7 @@
     slots: float
     deadline: float  # time at which the client gives up
     start_by: float  # latest time at which a start is still useful
-    due_at: float  # order within a queue: time of the latency target or of the deadline; no estimate in it
+    due_at: float  # time of the latency target or of the deadline, without estimates; orders a queue
     worth_factor: float  # fraction of the class's worth: by its tenant's quota, and less once it is late
     max_attempts: int
     attempts: list[Attempt] = field(default_factory=list)
@@ -169,6 +169,7 @@
         self._tickets = itertools.count()
 
     def __len__(self) -> int:
+        """Number of queued requests."""
         return self.count
 
     def add(self, request: Request) -> None:
@@ -250,7 +251,7 @@
         return float(self._worker_slowness[row] + self._type_slowness[self._worker_types[row]])
 
     def log_slowness_of(self, rows: Rows) -> NDArray[np.float64]:
-        """Return the slowness of several workers."""
+        """Return the slowness of the workers of `rows`, in that order."""
         return self._worker_slowness[rows] + self._type_slowness[self._worker_types[rows]]
 
     def observe_run(self, class_index: int, seconds: float, row: int) -> None:
@@ -289,11 +290,12 @@
     MAJORITY = 0.5
 
     def __init__(self, home_zone: int) -> None:
+        """`home_zone` is the index of the dispatcher's zone."""
         self.home_zone = home_zone
         self.home_late_share = self.away_late_share = 0.0
 
     def observe(self, late: bool, zone: int) -> None:
-        """Record the start of a job in `zone`; `late`: too late to be on target."""
+        """Record the start of a job in `zone`; `late`: too late for its target, or for its client."""
         if zone == self.home_zone:
             self.home_late_share += self.GAIN * (late - self.home_late_share)
             self.away_late_share -= self.DECAY * self.away_late_share
--- a/wickgw/routing/check.py
+++ b/wickgw/routing/check.py
@@ -142,8 +142,8 @@
 def _check_expectation(
     plan: CheckPlan, analysis: Analysis, index: int, expectation: Expectation, covered: list[int]
 ) -> CheckResult:
-    # An expectation distinguishes the equivalence classes of one route only by their witnesses, so the class
-    # with the smallest witness represents them all.
+    # The verdict is the same for all equivalence classes that lead to the same route. Only the class with the
+    # smallest witness is checked, so that this witness is reported.
     by_route: dict[str, tuple[Request, Route | None, tuple[Route, ...]]] = {}
     for position in covered:
         equivalence_class, route, tied = analysis.equivalence_classes[position]
@@ -248,10 +248,10 @@
     """
     if route_outcome.refused or expectation.expected.kind not in ("zone", "workers"):
         return ""
-    indexes = fleet.roster.indexes_of(table.pools[route_outcome.pool])
-    workers = {fleet.roster.workers[index].name: fleet.roster.workers[index] for index in indexes}
+    indexes = fleet.indexed.indexes_of(table.pools[route_outcome.pool])
+    workers = {fleet.indexed.workers[index].name: fleet.indexed.workers[index] for index in indexes}
     states = tuple(
-        (fleet.roster.workers[index].name, fleet.roster.workers[index].zone, fleet.states[index].value)
+        (fleet.indexed.workers[index].name, fleet.indexed.workers[index].zone, fleet.states[index].value)
         for index in indexes
     )
     for name in selected_workers(states):
--- a/wickgw/routing/fleet.py
+++ b/wickgw/routing/fleet.py
@@ -39,7 +39,7 @@
         return f"zone:{self.value}" if self.kind == "zone" else self.value
 
 
-class Roster:
+class IndexedWorkers:
     """A list of workers, with cached indexes of the workers in each pool and selector."""
 
     def __init__(self, workers: Iterable[Worker]) -> None:
@@ -57,20 +57,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """A roster with the state of each worker."""
+    """A list of workers with the state of each."""
 
-    roster: Roster
+    indexed: IndexedWorkers
     states: tuple[WorkerState, ...]
 
     def states_of(self, selection: Pool | Selector) -> list[WorkerState]:
         """Return the states of the workers in a pool or selector."""
-        return [self.states[index] for index in self.roster.indexes_of(selection)]
+        return [self.states[index] for index in self.indexed.indexes_of(selection)]
 
     def describe(self) -> str:
         """Return a text that names the workers that are not ready."""
         parts = []
         for state in (DRAINING, GONE):
-            pairs = zip(self.roster.workers, self.states, strict=True)
+            pairs = zip(self.indexed.workers, self.states, strict=True)
             names = sorted(worker.name for worker, worker_state in pairs if worker_state is state)
             if names:
                 parts.append(f"{', '.join(names)} {state.value}")
@@ -99,12 +99,12 @@
 
     def fixed_fleet(self, workers: Sequence[Worker]) -> Fleet:
         """Return the fleet in which only `exceptions` are not ready."""
-        roster = Roster(workers)
-        states = [READY] * len(roster.workers)
+        indexed = IndexedWorkers(workers)
+        states = [READY] * len(indexed.workers)
         for state, selector in self.exceptions:
-            for index in roster.indexes_of(selector):
+            for index in indexed.indexes_of(selector):
                 states[index] = state
-        return Fleet(roster, tuple(states))
+        return Fleet(indexed, tuple(states))
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,9 +125,9 @@
     pool, refused = table.pool_for(route, counts)
     if refused:
         return Outcome(pool, True, ())
-    indexes = fleet.roster.indexes_of(table.pools[pool])
+    indexes = fleet.indexed.indexes_of(table.pools[pool])
     return Outcome(
-        pool, False, tuple(fleet.roster.workers[index] for index in indexes if fleet.states[index] is READY)
+        pool, False, tuple(fleet.indexed.workers[index] for index in indexes if fleet.states[index] is READY)
     )
 
 
@@ -155,13 +155,13 @@
     max_threshold = max(
         (candidate.fewer_than for candidate in pools if candidate.out == "fewer-than"), default=1
     )
-    roster = Roster(worker for group in groups.values() for worker in group)
+    indexed = IndexedWorkers(worker for group in groups.values() for worker in group)
     sizes = tuple(len(group) for group in groups.values())
     for counts in _state_counts(sizes, max_threshold, route.name):
         states: list[WorkerState] = []
         for size, (ready, draining) in zip(sizes, counts, strict=True):
             states += [READY] * ready + [DRAINING] * draining + [GONE] * (size - ready - draining)
-        yield Fleet(roster, tuple(states))
+        yield Fleet(indexed, tuple(states))
 
 
 @lru_cache(maxsize=1024)
--- a/wickgw/service/calls.py
+++ b/wickgw/service/calls.py
@@ -22,7 +22,7 @@
 
 MAX_CALL_BYTES = 64  # of a call with its newline; the longest valid call has 7
 ANSWER_TIMEOUT_S = 0.8  # from connecting to an answer: 1 s is allowed, and the loop may be busy
-LINGER_S = 2.0  # for a caller to read its answer and close, before it is disconnected
+LINGER_S = 2.0  # time for an answered caller to read its answer and close; then it is disconnected
 
 
 class Call(enum.Enum):
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed."""
+    """Time has passed; deadlines of callers may have expired."""
 
 
 Event = Opened | Read | Closed | Tick
@@ -91,6 +91,8 @@
 
 @dataclass(slots=True)
 class _Caller:
+    """The state of one caller."""
+
     deadline: float  # for the answer or, once answered, for the caller to close
     answered: bool = False
     received: bytes = b""
@@ -100,12 +102,13 @@
     """All callers of the management port."""
 
     def __init__(self, max_callers: int) -> None:
-        self.max_callers = max_callers  # connected at once
+        """`max_callers` is the number of callers that may be connected at once."""
+        self.max_callers = max_callers
         self.callers: OrderedDict[int, _Caller] = OrderedDict()  # oldest first
         self.counters = {"calls": 0, "calls.refused": 0, "callers.dropped": 0}
 
     def next_deadline(self) -> float | None:
-        """Return when the next Tick is due, or None."""
+        """Return the time in seconds at which the next Tick is due; None if there are no callers."""
         return min((caller.deadline for caller in self.callers.values()), default=None)
 
     def handle(self, event: Event, now: float) -> list[Action]:
@@ -133,7 +136,8 @@
         return actions
 
     def _read(self, caller_id: int, caller: _Caller, data: bytes, now: float) -> list[Action]:
-        # Input beyond the longest call is dropped.
+        """Add received bytes to a call, and answer the call once it is complete or too long."""
+        # Input beyond the longest call is dropped, so that no caller can make the process store more.
         caller.received += data[: MAX_CALL_BYTES + 1 - len(caller.received)]
         line, newline, _ = caller.received.partition(b"\n")
         if not newline:
@@ -155,6 +159,7 @@
     def _answer(
         self, caller_id: int, caller: _Caller, now: float, action: Execute | Refuse
     ) -> Execute | Refuse:
+        """Mark a caller as answered, count the answer and return its action."""
         caller.answered, caller.received, caller.deadline = True, b"", now + LINGER_S
         self.callers.move_to_end(caller_id)
         self.counters["calls" if isinstance(action, Execute) else "calls.refused"] += 1
--- a/wickgw/subsetting/subset.py
+++ b/wickgw/subsetting/subset.py
@@ -74,8 +74,7 @@
         self.dispatcher_count, self.size, self.settings = len(dispatchers), size, settings
         self.known: dict[str, KnownWorker[WorkerT]] = {}
         self.members: dict[str, KnownWorker[WorkerT]] = {}
-        # In the order in which they were added.
-        self.substitutes: dict[str, KnownWorker[WorkerT]] = {}
+        self.substitutes: dict[str, KnownWorker[WorkerT]] = {}  # in the order in which they were added
         self._ready: set[str] = set()  # names of the known workers that are ready
         self._published: dict[str, WorkerT] = {}  # the workers of the subset, as last returned to the caller
         self._pending: list[WorkerT] = []  # workers of the list that are not processed yet
@@ -184,9 +183,9 @@
     def capacity(self, worker: KnownWorker[WorkerT], now: float) -> float:
         """Return the capacity of `worker` at time `now`, as a fraction of a warm worker's capacity.
 
-        The capacity is 0 for a worker that is not ready or that fails repeatedly. It grows linearly from
-        `cold_from` at the worker's start to 1 after `warm_after` seconds.
-        A worker whose start is unknown counts as warm.
+        The capacity is 0 for a worker that is not ready or that fails repeatedly. It grows linearly from the
+        setting `initial_capacity` at the worker's start to 1 after `warmup_time` seconds. A worker whose
+        start is unknown counts as warm.
         """
         entry = worker.listed.entry
         if entry.health is not i.Health.READY or worker.failures >= MAX_CONSECUTIVE_FAILURES:
